--- a/bench/src/main/java/org/almondmount/bench/cost/BusyFleet.java
+++ b/bench/src/main/java/org/almondmount/bench/cost/BusyFleet.java
@@ -16,7 +16,7 @@
 import org.almondmount.workflow.Step;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 import org.almondmount.workflow.Workflow;
 import org.almondmount.workflow.WorkflowCommand;
@@ -98,7 +98,7 @@
 	}
 
 	List<WorkflowCommand> handle(WorkflowEvent event) {
-		return this.scheduler.handle(new WorkflowScheduler.Instant(this.now, this.now), event);
+		return this.scheduler.handle(new WorkflowScheduler.ClockReading(this.now, this.now), event);
 	}
 
 	/**
@@ -107,8 +107,8 @@
 	 */
 	void take(List<WorkflowCommand> commands) {
 		for (WorkflowCommand command : commands) {
-			if (command instanceof WorkflowCommand.Keep keep) {
-				take(handle(new WorkflowEvent.Kept(keep.sequence())));
+			if (command instanceof WorkflowCommand.Persist keep) {
+				take(handle(new WorkflowEvent.Persisted(keep.sequence())));
 			}
 			else if (command instanceof WorkflowCommand.StartRun start) {
 				this.running.get(start.target()).put(start.task(), start.run());
@@ -123,8 +123,8 @@
 	private WorkflowEvent report(String target) {
 		int worker = Integer.parseInt(target.substring(1));
 		Set<String> labels = Set.of("a", "r1-" + worker / WORKERS_A_RACK);
-		WorkerDescription said = new WorkerDescription(new WorkerLife("w" + worker, 1), POOL, "z" + worker % 3, labels,
-				CAPACITY, false, 0);
+		WorkerDescription said = new WorkerDescription(new WorkerIncarnation("w" + worker, 1), POOL, "z" + worker % 3,
+				labels, CAPACITY, false, 0);
 		int progress = Math.min(WHOLE - 1, this.percent.merge(target, 1, Integer::sum));
 		List<WorkerReport.Running> runs = new ArrayList<>();
 		this.running.get(target).forEach((task, run) -> runs.add(new WorkerReport.Running(task, run, "", progress)));
@@ -145,7 +145,7 @@
 	private static Step step(int count, long cpuMillis, long memoryMb, long accelerators, long millis, boolean gang) {
 		Step.Placement placement = new Step.Placement("", "", gang, 0);
 		return new Step(count, new ResourceAmount(cpuMillis, memoryMb, accelerators), millis, List.of(), !gang, gang,
-				placement, false, Step.ServiceTerms.NONE);
+				placement, false, Step.ServiceSpec.NONE);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/worker/BegunRuns.java
+++ b/core/src/main/java/org/almondmount/worker/BegunRuns.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 import org.almondmount.workflow.TaskId;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -37,7 +37,7 @@
 	 * @param lastAnswer when the worker last answered in it, by the steady clock
 	 * @return the runs that had not ended
 	 */
-	List<WorkerReport.Crashed> takeAll(WorkerLife life, long lastAnswer) {
+	List<WorkerReport.Crashed> takeAll(WorkerIncarnation life, long lastAnswer) {
 		List<WorkerReport.Crashed> runs = new ArrayList<>();
 		this.since.forEach((key, began) -> runs
 			.add(new WorkerReport.Crashed(life, key.task, key.run, Math.max(0, lastAnswer - began))));
--- a/core/src/main/java/org/almondmount/worker/WorkerCommand.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerCommand.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.almondmount.workflow.TaskId;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -15,24 +15,25 @@
 	 * Look at the worker and renew its lease.
 	 *
 	 * @param look the look's number
-	 * @param life the life that is meant, {@link WorkerLife#NONE} for whichever is there
+	 * @param life the life that is meant, {@link WorkerIncarnation#NONE} for whichever is
+	 * there
 	 * @param epoch the epoch that the worker is to obey
 	 * @param acknowledged ends up to that number may be forgotten
 	 * @param leaseUntilMillis the end of the lease by the worker's clock, 0 to renew
 	 * nothing
 	 * @param waitMillis how long the worker may wait for an end before it answers
 	 */
-	record Look(long look, WorkerLife life, long epoch, long acknowledged, long leaseUntilMillis,
+	record Look(long look, WorkerIncarnation life, long epoch, long acknowledged, long leaseUntilMillis,
 			long waitMillis) implements WorkerCommand {
 	}
 
 	/** Have the worker begin a run; the lease ends at that time of the worker's clock. */
-	record Start(WorkerLife life, long epoch, TaskId task, int run, String program, String checkpoint,
+	record Start(WorkerIncarnation life, long epoch, TaskId task, int run, String program, String checkpoint,
 			long leaseUntilMillis) implements WorkerCommand {
 	}
 
 	/** Have the worker end a run. */
-	record Stop(WorkerLife life, long epoch, TaskId task, int run) implements WorkerCommand {
+	record Stop(WorkerIncarnation life, long epoch, TaskId task, int run) implements WorkerCommand {
 	}
 
 	/**
@@ -74,7 +75,7 @@
 	 * @param life the life that ended
 	 * @param runs the runs whose start the worker had answered, or that it had listed
 	 */
-	record CountCrash(WorkerLife life, List<WorkerReport.Crashed> runs) implements WorkerCommand {
+	record CountCrash(WorkerIncarnation life, List<WorkerReport.Crashed> runs) implements WorkerCommand {
 
 		public CountCrash {
 			runs = List.copyOf(runs);
--- a/core/src/main/java/org/almondmount/worker/WorkerEvent.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerEvent.java
@@ -5,7 +5,7 @@
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -50,16 +50,16 @@
 	 * @param checkpoint where to go on, or empty
 	 * @param capacity the worker's capacity by which the holder chose it
 	 */
-	record StartOrdered(long epoch, long heartbeat, WorkerLife life, TaskId task, int run, String program,
+	record StartOrdered(long epoch, long heartbeat, WorkerIncarnation life, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements WorkerEvent {
 	}
 
 	/** The holder orders a run to end, or never to begin. */
-	record StopOrdered(long epoch, WorkerLife life, TaskId task, int run) implements WorkerEvent {
+	record StopOrdered(long epoch, WorkerIncarnation life, TaskId task, int run) implements WorkerEvent {
 	}
 
 	/** Ends up to that number are kept. */
-	record EndsKept(long epoch, WorkerLife life, long upTo) implements WorkerEvent {
+	record EndsKept(long epoch, WorkerIncarnation life, long upTo) implements WorkerEvent {
 	}
 
 	/**
@@ -71,7 +71,7 @@
 	 * @param running what runs
 	 * @param ended what ended and was not acknowledged
 	 */
-	record Looked(long look, WorkerLife life, long clockMillis, List<WorkerReport.Running> running,
+	record Looked(long look, WorkerIncarnation life, long clockMillis, List<WorkerReport.Running> running,
 			List<WorkerReport.Ended> ended) implements WorkerEvent {
 
 		public Looked {
--- a/core/src/main/java/org/almondmount/worker/WorkerKeeper.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerKeeper.java
@@ -10,7 +10,7 @@
 
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -69,7 +69,7 @@
 
 	private long announcement;
 
-	private WorkerLife life = WorkerLife.NONE;
+	private WorkerIncarnation life = WorkerIncarnation.NONE;
 
 	private List<WorkerReport.Running> running = List.of();
 
@@ -233,7 +233,7 @@
 		sendStop(run);
 	}
 
-	private boolean ignored(String order, long sent, WorkerLife meant, TaskId task, int run) {
+	private boolean ignored(String order, long sent, WorkerIncarnation meant, TaskId task, int run) {
 		if (sent >= this.epoch && meant.equals(this.life)) {
 			return false;
 		}
@@ -294,10 +294,10 @@
 	}
 
 	private void described(long now, WorkerDescription said, long announcement) {
-		if (said.life().bornMillis() < this.life.bornMillis()) {
+		if (said.incarnation().startedAtMillis() < this.life.startedAtMillis()) {
 			return;
 		}
-		begin(now, said.life());
+		begin(now, said.incarnation());
 		// Announcements overtake each other: an older one may tell of room that is gone,
 		// or that a worker is ready which leaves by now.
 		boolean overtaken = announcement < this.announcement;
@@ -336,11 +336,11 @@
 	// A new life knows nothing of the former one's runs, ends and orders. A look that was
 	// sent before the worker had told its name brings the same life without it; taken as
 	// it is, the holder's orders for that life would not be known for what they are.
-	private void begin(long now, WorkerLife next) {
+	private void begin(long now, WorkerIncarnation next) {
 		if (next.equals(this.life)) {
 			return;
 		}
-		if (next.bornMillis() == this.life.bornMillis()) {
+		if (next.startedAtMillis() == this.life.startedAtMillis()) {
 			this.life = next.worker().isEmpty() ? this.life : next;
 			return;
 		}
@@ -373,7 +373,7 @@
 	private void looked(long now, WorkerEvent.Looked looked) {
 		Long lookEpoch = this.lookEpochs.get(looked.look());
 		lookEnded(looked.look());
-		if (looked.life().bornMillis() < this.life.bornMillis()) {
+		if (looked.life().startedAtMillis() < this.life.startedAtMillis()) {
 			return;
 		}
 		begin(now, looked.life());
@@ -401,7 +401,7 @@
 
 	private void takeLists(WorkerEvent.Looked looked) {
 		for (WorkerReport.Ended end : looked.ended()) {
-			if (end.number() > this.acknowledged && this.ends.put(end.number(), end) == null) {
+			if (end.sequence() > this.acknowledged && this.ends.put(end.sequence(), end) == null) {
 				this.reportDue = true;
 				this.orders.remove(key(end.task(), end.run()));
 			}
@@ -546,7 +546,7 @@
 		}
 		this.lookEpochs.put(number, this.epoch);
 		this.commands.add(new WorkerCommand.Look(number, this.life, this.epoch, this.acknowledged,
-				(this.life.bornMillis() != 0) ? leaseUntilByWorker(now) : 0, wait));
+				(this.life.startedAtMillis() != 0) ? leaseUntilByWorker(now) : 0, wait));
 	}
 
 	private void lookEnded(long look) {
--- a/core/src/main/java/org/almondmount/workflow/FleetConfiguration.java
+++ b/core/src/main/java/org/almondmount/workflow/FleetConfiguration.java
@@ -74,7 +74,7 @@
 	 * @param key what a caller presented
 	 * @return the customer, or empty for a key that is not known
 	 */
-	public Optional<FleetCustomer> customerOfKey(String key) {
+	public Optional<FleetCustomer> customerByKey(String key) {
 		return Optional.ofNullable(this.customersByKey.get(key));
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/JobFailure.java
+++ b/core/src/main/java/org/almondmount/workflow/JobFailure.java
@@ -11,12 +11,12 @@
 	/** Workers crashed under a task. */
 	WORKERS_CRASHED("workers crashed under task", "see what it does to its worker before it is handed in again");
 
-	private final String what;
+	private final String reason;
 
 	private final String remedy;
 
 	JobFailure(String what, String remedy) {
-		this.what = what;
+		this.reason = what;
 		this.remedy = remedy;
 	}
 
@@ -26,7 +26,7 @@
 	 * @return the reason with its remedy
 	 */
 	public String message(String detail) {
-		return this.what + detail + "; " + this.remedy;
+		return this.reason + detail + "; " + this.remedy;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/JobPhase.java
+++ b/core/src/main/java/org/almondmount/workflow/JobPhase.java
@@ -25,21 +25,21 @@
 	/** It was cancelled. */
 	CANCELLED(true);
 
-	private final boolean over;
+	private final boolean isTerminal;
 
 	JobPhase(boolean over) {
-		this.over = over;
+		this.isTerminal = over;
 	}
 
-	public boolean over() {
-		return this.over;
+	public boolean isTerminal() {
+		return this.isTerminal;
 	}
 
 	/**
 	 * The phase as callers read it.
 	 * @return the word
 	 */
-	public String word() {
+	public String externalName() {
 		return name().toLowerCase(Locale.ROOT);
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/JobQueue.java
+++ b/core/src/main/java/org/almondmount/workflow/JobQueue.java
@@ -9,22 +9,23 @@
  * @param pool the workers that run its tasks
  * @param priority 0 comes first and may preempt others
  * @param maxAttempts failed runs of a task, or of a gang, after which the job fails
- * @param stretch how many times its longest chain of work a job may take
- * @param latencyObjectiveMillis what is added to that objective
- * @param anonymous whether callers need no key
- * @param advised whether only the advice service knows which workers may run a step
+ * @param criticalPathFactor how many times its longest chain of work a job may take
+ * @param latencyAllowanceMillis what is added to that objective
+ * @param anonymousAllowed whether callers need no key
+ * @param adviceRequired whether only the advice service knows which workers may run a
+ * step
  */
 public record JobQueue(String name, String host, String pathPrefix, String pool, int priority, int maxAttempts,
-		double stretch, long latencyObjectiveMillis, boolean anonymous, boolean advised) {
+		double criticalPathFactor, long latencyAllowanceMillis, boolean anonymousAllowed, boolean adviceRequired) {
 
-	private static final int URGENT = 0;
+	private static final int URGENT_PRIORITY = 0;
 
 	/**
 	 * Whether its jobs come before those of other queues and may take their place.
 	 * @return whether they do
 	 */
 	public boolean urgent() {
-		return this.priority == URGENT;
+		return this.priority == URGENT_PRIORITY;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/JobRecord.java
+++ b/core/src/main/java/org/almondmount/workflow/JobRecord.java
@@ -16,7 +16,7 @@
 public record JobRecord(String job, JobPhase phase, List<StepKey> doneSteps, List<TaskRecord> tasks) {
 
 	/** Fewer never end a job. */
-	private static final int CRASHES_OF_A_FAILURE = 2;
+	private static final int MIN_CRASHES_FOR_FAILURE = 2;
 
 	public JobRecord {
 		doneSteps = List.copyOf(doneSteps);
@@ -27,23 +27,23 @@
 	 * Why the job was given up, for its caller.
 	 * @return the reason and its remedy, or empty for a job that was not
 	 */
-	public Optional<String> failure() {
+	public Optional<String> failureMessage() {
 		if (this.phase != JobPhase.FAILED) {
 			return Optional.empty();
 		}
 		for (TaskRecord task : this.tasks) {
-			if (task.crashes().stream().filter(Crash::seen).count() >= CRASHES_OF_A_FAILURE) {
-				return Optional.of(crashed(task));
+			if (task.crashes().stream().filter(Crash::confirmed).count() >= MIN_CRASHES_FOR_FAILURE) {
+				return Optional.of(crashMessage(task));
 			}
 		}
 		return Optional.of(JobFailure.ATTEMPTS_USED_UP.message(""));
 	}
 
-	private String crashed(TaskRecord task) {
+	private String crashMessage(TaskRecord task) {
 		String workers = task.crashes()
 			.stream()
-			.filter(Crash::seen)
-			.map((crash) -> crash.life().worker())
+			.filter(Crash::confirmed)
+			.map((crash) -> crash.incarnation().worker())
 			.distinct()
 			.collect(Collectors.joining(", "));
 		TaskId id = new TaskId(this.job, task.step().occurrence(), task.step().step(), task.index());
@@ -69,12 +69,12 @@
 	 * @param done whether it is done
 	 * @param checkpoint its last checkpoint, or empty
 	 * @param openRuns its runs that may still be at work
-	 * @param failedRun of a gang's first task: the last run of the gang whose failure is
-	 * counted, 0 for none
+	 * @param lastFailedRun of a gang's first task: the last run of the gang whose failure
+	 * is counted, 0 for none
 	 * @param crashes its runs under which a worker crashed
 	 */
 	public record TaskRecord(StepKey step, int index, int lastRun, int failures, boolean done, String checkpoint,
-			List<OpenRun> openRuns, int failedRun, List<Crash> crashes) {
+			List<OpenRun> openRuns, int lastFailedRun, List<Crash> crashes) {
 
 		public TaskRecord {
 			openRuns = List.copyOf(openRuns);
@@ -92,22 +92,23 @@
 	 * A run under which a worker crashed, or may have.
 	 *
 	 * @param run the run's number
-	 * @param life the life of the worker that ended
-	 * @param seen whether the process beside the worker saw the run at work there
-	 * @param ageMillis how long the run was at work at least, in milliseconds
+	 * @param incarnation the life of the worker that ended
+	 * @param confirmed whether the process beside the worker saw the run at work there
+	 * @param observedRunMillis how long the run was at work at least, in milliseconds
 	 * @param blamePercent how much of the blame falls on its step, by what else was at
 	 * work there; 100 where nothing else was
 	 */
-	public record Crash(int run, WorkerLife life, boolean seen, long ageMillis, int blamePercent) {
+	public record Crash(int run, WorkerIncarnation incarnation, boolean confirmed, long observedRunMillis,
+			int blamePercent) {
 
 		/**
 		 * A run that counts like a crash though none was seen.
 		 * @param run the run's number
-		 * @param life the life of the worker
+		 * @param incarnation the life of the worker
 		 * @return the crash that there may have been
 		 */
-		public static Crash unseen(int run, WorkerLife life) {
-			return new Crash(run, life, false, 0, 0);
+		public static Crash unconfirmed(int run, WorkerIncarnation incarnation) {
+			return new Crash(run, incarnation, false, 0, 0);
 		}
 
 	}
@@ -117,10 +118,10 @@
 	 *
 	 * @param number its number
 	 * @param target the process beside its worker
-	 * @param life the life of the worker in which it may have begun
+	 * @param incarnation the life of the worker in which it may have begun
 	 * @param epoch the epoch under which it was ordered
 	 */
-	public record OpenRun(int number, String target, WorkerLife life, long epoch) {
+	public record OpenRun(int number, String target, WorkerIncarnation incarnation, long epoch) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/PlacementPace.java
+++ b/core/src/main/java/org/almondmount/workflow/PlacementRateLimiter.java
@@ -11,39 +11,39 @@
  * time, the same work leaves the holder time for its term, whatever the size of the fleet
  * and the speed of its machine.
  */
-public final class PlacementPace {
+public final class PlacementRateLimiter {
 
 	/** Time without placement after a round, in parts of what the round took. */
-	private static final int REST = 1;
+	private static final int PAUSE_TO_ROUND_RATIO = 1;
 
-	private boolean wanted;
+	private boolean roundRequested;
 
-	private long notBefore = Long.MIN_VALUE;
+	private long earliestRoundMillis = Long.MIN_VALUE;
 
 	/**
 	 * Takes note that something has changed since the last round.
 	 */
-	public void want() {
-		this.wanted = true;
+	public void requestRound() {
+		this.roundRequested = true;
 	}
 
 	/**
 	 * Whether a round is to be run.
-	 * @param now the driver's steady clock in milliseconds
+	 * @param nowMillis the driver's steady clock in milliseconds
 	 * @return whether something has changed, and the last round was long enough ago
 	 */
-	public boolean due(long now) {
-		return this.wanted && now >= this.notBefore;
+	public boolean isDue(long nowMillis) {
+		return this.roundRequested && nowMillis >= this.earliestRoundMillis;
 	}
 
 	/**
 	 * Takes note of a round.
-	 * @param from when it began, by the driver's steady clock in milliseconds
-	 * @param to when it ended
+	 * @param startMillis when it began, by the driver's steady clock in milliseconds
+	 * @param endMillis when it ended
 	 */
-	public void placed(long from, long to) {
-		this.wanted = false;
-		this.notBefore = to + (to - from) * REST;
+	public void recordRound(long startMillis, long endMillis) {
+		this.roundRequested = false;
+		this.earliestRoundMillis = endMillis + (endMillis - startMillis) * PAUSE_TO_ROUND_RATIO;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/ResourceAmount.java
+++ b/core/src/main/java/org/almondmount/workflow/ResourceAmount.java
@@ -13,18 +13,18 @@
 	public static final ResourceAmount NONE = new ResourceAmount(0, 0, 0);
 
 	/** How many cores one accelerator counts for when amounts are compared. */
-	private static final long CORES_AN_ACCELERATOR = 8;
+	private static final long CORES_PER_ACCELERATOR = 8;
 
-	private static final double MILLIS = 1_000.0;
+	private static final double MILLIS_PER_CORE = 1_000.0;
 
 	/**
 	 * Whether this amount fits into another.
-	 * @param room what is there
+	 * @param available what is there
 	 * @return true when no dimension exceeds the room
 	 */
-	public boolean fitsIn(ResourceAmount room) {
-		return this.cpuMillis <= room.cpuMillis && this.memoryMb <= room.memoryMb
-				&& this.accelerators <= room.accelerators;
+	public boolean fitsIn(ResourceAmount available) {
+		return this.cpuMillis <= available.cpuMillis && this.memoryMb <= available.memoryMb
+				&& this.accelerators <= available.accelerators;
 	}
 
 	public ResourceAmount plus(ResourceAmount other) {
@@ -47,7 +47,7 @@
 	 * @param other the other amount
 	 * @return at least either of them
 	 */
-	public ResourceAmount atLeast(ResourceAmount other) {
+	public ResourceAmount max(ResourceAmount other) {
 		return new ResourceAmount(Math.max(this.cpuMillis, other.cpuMillis), Math.max(this.memoryMb, other.memoryMb),
 				Math.max(this.accelerators, other.accelerators));
 	}
@@ -58,12 +58,12 @@
 
 	/**
 	 * How often another amount goes into this one.
-	 * @param one the other amount
+	 * @param unit the other amount
 	 * @return how often; without bound where it asks for nothing
 	 */
-	public long holds(ResourceAmount one) {
-		long times = Math.min(holds(this.cpuMillis, one.cpuMillis), holds(this.memoryMb, one.memoryMb));
-		return Math.min(times, holds(this.accelerators, one.accelerators));
+	public long countFitting(ResourceAmount unit) {
+		long count = Math.min(countFitting(this.cpuMillis, unit.cpuMillis), countFitting(this.memoryMb, unit.memoryMb));
+		return Math.min(count, countFitting(this.accelerators, unit.accelerators));
 	}
 
 	public ResourceAmount times(long count) {
@@ -75,9 +75,9 @@
 	 * @param whole a worker's capacity
 	 * @return the sum of the shares, 0 for nothing
 	 */
-	public double shareOf(ResourceAmount whole) {
-		return share(this.cpuMillis, whole.cpuMillis) + share(this.memoryMb, whole.memoryMb)
-				+ share(this.accelerators, whole.accelerators);
+	public double totalShareOf(ResourceAmount whole) {
+		return ratio(this.cpuMillis, whole.cpuMillis) + ratio(this.memoryMb, whole.memoryMb)
+				+ ratio(this.accelerators, whole.accelerators);
 	}
 
 	/**
@@ -86,8 +86,8 @@
 	 * @return the largest of the shares, 0 for nothing
 	 */
 	public double dominantShareOf(ResourceAmount whole) {
-		double share = Math.max(share(this.cpuMillis, whole.cpuMillis), share(this.memoryMb, whole.memoryMb));
-		return Math.max(share, share(this.accelerators, whole.accelerators));
+		double share = Math.max(ratio(this.cpuMillis, whole.cpuMillis), ratio(this.memoryMb, whole.memoryMb));
+		return Math.max(share, ratio(this.accelerators, whole.accelerators));
 	}
 
 	/**
@@ -95,14 +95,14 @@
 	 * @return cores
 	 */
 	public double coreEquivalents() {
-		return this.cpuMillis / MILLIS + this.accelerators * CORES_AN_ACCELERATOR;
+		return this.cpuMillis / MILLIS_PER_CORE + this.accelerators * CORES_PER_ACCELERATOR;
 	}
 
-	private static double share(long part, long whole) {
+	private static double ratio(long part, long whole) {
 		return (whole > 0) ? (double) part / whole : 0;
 	}
 
-	private static long holds(long whole, long part) {
+	private static long countFitting(long whole, long part) {
 		return (part > 0) ? Math.max(0, whole) / part : Integer.MAX_VALUE;
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/RunEnding.java
+++ b/core/src/main/java/org/almondmount/workflow/RunOutcome.java
@@ -3,7 +3,7 @@
 /**
  * How a run of a task ended on its worker.
  */
-public enum RunEnding {
+public enum RunOutcome {
 
 	/** Its work is done. */
 	DONE(true, false),
@@ -28,11 +28,11 @@
 
 	private final boolean done;
 
-	private final boolean attempt;
+	private final boolean countsAsAttempt;
 
-	RunEnding(boolean done, boolean attempt) {
+	RunOutcome(boolean done, boolean attempt) {
 		this.done = done;
-		this.attempt = attempt;
+		this.countsAsAttempt = attempt;
 	}
 
 	public boolean done() {
@@ -44,7 +44,7 @@
 	 * @return whether it does
 	 */
 	public boolean countsAsAttempt() {
-		return this.attempt;
+		return this.countsAsAttempt;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/SchedulerPolicy.java
+++ b/core/src/main/java/org/almondmount/workflow/SchedulerPolicy.java
@@ -9,16 +9,16 @@
  *
  * @param leaseMillis for how long what runs beside a target goes on after the target was
  * last granted its lease
- * @param usableSilenceMillis silence of a target after which its worker gets nothing new
+ * @param maxSilenceMillis silence of a target after which its worker gets nothing new
  * @param orderRetryMillis after which an order of which nothing was heard is sent again
  * @param refusalPauseMillis how long a worker that refused a run gets nothing new
- * @param stopMillis how long a worker takes at most to end a run
- * @param statusMillis how long callers can ask for a job that has ended
+ * @param stopTimeoutMillis how long a worker takes at most to end a run
+ * @param endedJobRetentionMillis how long callers can ask for a job that has ended
  * @param checkpointing how workers keep the progress of tasks
  * @param features what it does beyond its promises
  */
-public record SchedulerPolicy(long leaseMillis, long usableSilenceMillis, long orderRetryMillis,
-		long refusalPauseMillis, long stopMillis, long statusMillis, Checkpointing checkpointing,
+public record SchedulerPolicy(long leaseMillis, long maxSilenceMillis, long orderRetryMillis, long refusalPauseMillis,
+		long stopTimeoutMillis, long endedJobRetentionMillis, Checkpointing checkpointing,
 		Set<SchedulerFeature> features) {
 
 	/**
@@ -31,48 +31,50 @@
 			Checkpointing.DEFAULT, SchedulerFeature.ALL);
 
 	/** A worker's clock may be 2 % slow, and a lease is measured on it. */
-	private static final double SLOWEST_CLOCK = 1.02;
+	private static final double MAX_CLOCK_SLOWDOWN = 1.02;
 
 	/** Time for an end at the worker to take effect, in milliseconds. */
-	private static final long LAPSE_MARGIN_MILLIS = 300;
+	private static final long RUN_END_MARGIN_MILLIS = 300;
 
 	public SchedulerPolicy {
 		features = features.isEmpty() ? Set.of() : Collections.unmodifiableSet(EnumSet.copyOf(features));
 	}
 
 	public SchedulerPolicy withLeaseMillis(long millis) {
-		return new SchedulerPolicy(millis, this.usableSilenceMillis, this.orderRetryMillis, this.refusalPauseMillis,
-				this.stopMillis, this.statusMillis, this.checkpointing, this.features);
+		return new SchedulerPolicy(millis, this.maxSilenceMillis, this.orderRetryMillis, this.refusalPauseMillis,
+				this.stopTimeoutMillis, this.endedJobRetentionMillis, this.checkpointing, this.features);
 	}
 
-	public SchedulerPolicy withStopMillis(long millis) {
-		return new SchedulerPolicy(this.leaseMillis, this.usableSilenceMillis, this.orderRetryMillis,
-				this.refusalPauseMillis, millis, this.statusMillis, this.checkpointing, this.features);
+	public SchedulerPolicy withStopTimeoutMillis(long millis) {
+		return new SchedulerPolicy(this.leaseMillis, this.maxSilenceMillis, this.orderRetryMillis,
+				this.refusalPauseMillis, millis, this.endedJobRetentionMillis, this.checkpointing, this.features);
 	}
 
-	public SchedulerPolicy withStatusMillis(long millis) {
-		return new SchedulerPolicy(this.leaseMillis, this.usableSilenceMillis, this.orderRetryMillis,
-				this.refusalPauseMillis, this.stopMillis, millis, this.checkpointing, this.features);
+	public SchedulerPolicy withEndedJobRetentionMillis(long millis) {
+		return new SchedulerPolicy(this.leaseMillis, this.maxSilenceMillis, this.orderRetryMillis,
+				this.refusalPauseMillis, this.stopTimeoutMillis, millis, this.checkpointing, this.features);
 	}
 
-	public SchedulerPolicy withCheckpointing(Checkpointing other) {
-		return new SchedulerPolicy(this.leaseMillis, this.usableSilenceMillis, this.orderRetryMillis,
-				this.refusalPauseMillis, this.stopMillis, this.statusMillis, other, this.features);
+	public SchedulerPolicy withCheckpointing(Checkpointing newCheckpointing) {
+		return new SchedulerPolicy(this.leaseMillis, this.maxSilenceMillis, this.orderRetryMillis,
+				this.refusalPauseMillis, this.stopTimeoutMillis, this.endedJobRetentionMillis, newCheckpointing,
+				this.features);
 	}
 
-	public SchedulerPolicy withFeatures(Set<SchedulerFeature> some) {
-		return new SchedulerPolicy(this.leaseMillis, this.usableSilenceMillis, this.orderRetryMillis,
-				this.refusalPauseMillis, this.stopMillis, this.statusMillis, this.checkpointing, some);
+	public SchedulerPolicy withFeatures(Set<SchedulerFeature> enabledFeatures) {
+		return new SchedulerPolicy(this.leaseMillis, this.maxSilenceMillis, this.orderRetryMillis,
+				this.refusalPauseMillis, this.stopTimeoutMillis, this.endedJobRetentionMillis, this.checkpointing,
+				enabledFeatures);
 	}
 
 	public SchedulerPolicy without(SchedulerFeature feature) {
-		Set<SchedulerFeature> others = EnumSet.copyOf(SchedulerFeature.ALL);
-		others.retainAll(this.features);
-		others.remove(feature);
-		return withFeatures(others);
+		Set<SchedulerFeature> remaining = EnumSet.copyOf(SchedulerFeature.ALL);
+		remaining.retainAll(this.features);
+		remaining.remove(feature);
+		return withFeatures(remaining);
 	}
 
-	public boolean has(SchedulerFeature feature) {
+	public boolean isEnabled(SchedulerFeature feature) {
 		return this.features.contains(feature);
 	}
 
@@ -81,7 +83,7 @@
 	 * @return milliseconds since it was last granted its lease
 	 */
 	public long lapsedAfterMillis() {
-		return (long) (this.leaseMillis * SLOWEST_CLOCK) + LAPSE_MARGIN_MILLIS;
+		return (long) (this.leaseMillis * MAX_CLOCK_SLOWDOWN) + RUN_END_MARGIN_MILLIS;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/Step.java
+++ b/core/src/main/java/org/almondmount/workflow/Step.java
@@ -7,25 +7,26 @@
 /**
  * One step of a workflow: tasks that are alike. Immutable.
  *
- * @param count how many tasks
+ * @param taskCount how many tasks
  * @param demand what each task needs
  * @param estimateMillis a rough guess of a task's run time, 0 where there is none
- * @param after numbers of the steps whose tasks must all be done before
- * @param checkpoints whether its tasks save their progress
- * @param gang whether its tasks work only all together
+ * @param dependencies numbers of the steps whose tasks must all be done before
+ * @param savesCheckpoints whether its tasks save their progress
+ * @param gangScheduled whether its tasks work only all together
  * @param placement where its tasks may and should run
  * @param duplicatesAllowed whether two copies of one task may run at the same time
- * @param service how a step that lasts behaves; {@link ServiceTerms#NONE} for work that
+ * @param service how a step that lasts behaves; {@link ServiceSpec#NONE} for work that
  * ends
  */
-public record Step(int count, ResourceAmount demand, long estimateMillis, List<Integer> after, boolean checkpoints,
-		boolean gang, Placement placement, boolean duplicatesAllowed, ServiceTerms service) {
+public record Step(int taskCount, ResourceAmount demand, long estimateMillis, List<Integer> dependencies,
+		boolean savesCheckpoints, boolean gangScheduled, Placement placement, boolean duplicatesAllowed,
+		ServiceSpec service) {
 
 	public Step {
-		if (count < 1) {
-			throw new InvalidValueException("count", "is " + count + "; give at least 1");
+		if (taskCount < 1) {
+			throw new InvalidValueException("count", "is " + taskCount + "; give at least 1");
 		}
-		after = List.copyOf(after);
+		dependencies = List.copyOf(dependencies);
 	}
 
 	/**
@@ -33,16 +34,16 @@
 	 * others leave take none of it away.
 	 * @return the room
 	 */
-	public ResourceAmount room() {
-		return this.service.fillsIdle() ? this.demand.withoutCpu() : this.demand;
+	public ResourceAmount allocation() {
+		return this.service.idleCpuOnly() ? this.demand.withoutCpu() : this.demand;
 	}
 
 	/**
 	 * Whether it matters to the step's tasks what runs beside them.
 	 * @return whether there are steps from which they have to stay apart
 	 */
-	public boolean mindsNeighbours() {
-		return this.service.fillsIdle() || this.service.latencyTargetMillis() > 0;
+	public boolean isColocationSensitive() {
+		return this.service.idleCpuOnly() || this.service.latencyTargetMillis() > 0;
 	}
 
 	/**
@@ -52,17 +53,17 @@
 	 * @param other the other step
 	 * @return whether they must stay apart
 	 */
-	public boolean staysApartFrom(Step other) {
-		return this.service.fillsIdle() && other.service.latencyTargetMillis() > 0
-				|| other.service.fillsIdle() && this.service.latencyTargetMillis() > 0;
+	public boolean conflictsWith(Step other) {
+		return this.service.idleCpuOnly() && other.service.latencyTargetMillis() > 0
+				|| other.service.idleCpuOnly() && this.service.latencyTargetMillis() > 0;
 	}
 
 	/**
 	 * Whether the step's tasks run until the job is cancelled.
 	 * @return whether they do
 	 */
-	public boolean lasting() {
-		return this.service.lasting();
+	public boolean longRunning() {
+		return this.service.longRunning();
 	}
 
 	/**
@@ -71,10 +72,10 @@
 	 * @param requiredLabel a label that the worker must have, or empty
 	 * @param dataRack the rack near which tasks run fast, or empty
 	 * @param sameRack whether a gang runs fast only within one rack
-	 * @param mostPerWorker tasks of one occurrence that one worker may run, 0 for any
+	 * @param maxPerWorker tasks of one occurrence that one worker may run, 0 for any
 	 * number
 	 */
-	public record Placement(String requiredLabel, String dataRack, boolean sameRack, int mostPerWorker) {
+	public record Placement(String requiredLabel, String dataRack, boolean sameRack, int maxPerWorker) {
 
 		/** Anywhere. */
 		public static final Placement ANYWHERE = new Placement("", "", false, 0);
@@ -84,17 +85,17 @@
 	/**
 	 * The terms of a step that lasts, and of what shares a worker with such steps.
 	 *
-	 * @param lasting whether the tasks run until the job is cancelled
+	 * @param longRunning whether the tasks run until the job is cancelled
 	 * @param image what the tasks run; tasks of one image behave alike
 	 * @param latencyTargetMillis the bound of the tasks' own response times, 0 for none
-	 * @param fillsIdle whether the tasks only take processor time that others leave
-	 * @param mayMiss tasks that may be away at once by the scheduler's doing
+	 * @param idleCpuOnly whether the tasks only take processor time that others leave
+	 * @param maxUnavailable tasks that may be away at once by the scheduler's doing
 	 */
-	public record ServiceTerms(boolean lasting, String image, long latencyTargetMillis, boolean fillsIdle,
-			int mayMiss) {
+	public record ServiceSpec(boolean longRunning, String image, long latencyTargetMillis, boolean idleCpuOnly,
+			int maxUnavailable) {
 
 		/** Work that ends. */
-		public static final ServiceTerms NONE = new ServiceTerms(false, "", 0, false, 0);
+		public static final ServiceSpec NONE = new ServiceSpec(false, "", 0, false, 0);
 
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/TaskId.java
+++ b/core/src/main/java/org/almondmount/workflow/TaskId.java
@@ -12,7 +12,7 @@
  */
 public record TaskId(String job, int occurrence, int step, int index) {
 
-	private static final int PARTS = 4;
+	private static final int PART_COUNT = 4;
 
 	/**
 	 * Reads the text form.
@@ -22,7 +22,7 @@
 	 */
 	public static TaskId parse(String text) {
 		String[] parts = text.split("\\.", -1);
-		if (parts.length != PARTS || parts[0].isEmpty()) {
+		if (parts.length != PART_COUNT || parts[0].isEmpty()) {
 			throw invalid(text);
 		}
 		try {
--- a/core/src/main/java/org/almondmount/workflow/WorkerDescription.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkerDescription.java
@@ -5,7 +5,7 @@
 /**
  * What a worker says of itself. Immutable.
  *
- * @param life the worker and its life
+ * @param incarnation the worker and its life
  * @param pool the pool that it belongs to
  * @param zone its availability zone
  * @param labels its kind and its rack
@@ -13,8 +13,8 @@
  * @param draining whether it is about to leave and takes nothing more
  * @param remainingMillis the time that is surely left while it drains
  */
-public record WorkerDescription(WorkerLife life, String pool, String zone, Set<String> labels, ResourceAmount capacity,
-		boolean draining, long remainingMillis) {
+public record WorkerDescription(WorkerIncarnation incarnation, String pool, String zone, Set<String> labels,
+		ResourceAmount capacity, boolean draining, long remainingMillis) {
 
 	private static final String RACK_PREFIX = "r";
 
@@ -32,7 +32,7 @@
 				return label;
 			}
 		}
-		return this.life.worker();
+		return this.incarnation.worker();
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/WorkerLife.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkerIncarnation.java
@@ -5,16 +5,16 @@
  * it.
  *
  * @param worker the worker's identifier, which may come back after a restart
- * @param bornMillis when this life began, in milliseconds since 1970
+ * @param startedAtMillis when this life began, in milliseconds since 1970
  */
-public record WorkerLife(String worker, long bornMillis) {
+public record WorkerIncarnation(String worker, long startedAtMillis) {
 
 	/** No worker. */
-	public static final WorkerLife NONE = new WorkerLife("", 0);
+	public static final WorkerIncarnation NONE = new WorkerIncarnation("", 0);
 
 	@Override
 	public String toString() {
-		return this.worker + "@" + this.bornMillis;
+		return this.worker + "@" + this.startedAtMillis;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/WorkerReport.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkerReport.java
@@ -32,33 +32,33 @@
 	 * @param task the task
 	 * @param run the run's number
 	 * @param checkpoint its last checkpoint, or empty
-	 * @param percent how far it is
+	 * @param progressPercent how far it is
 	 */
-	public record Running(TaskId task, int run, String checkpoint, int percent) {
+	public record Running(TaskId task, int run, String checkpoint, int progressPercent) {
 	}
 
 	/**
 	 * A run that ended.
 	 *
-	 * @param number counts the ends of one life of the worker
+	 * @param sequence counts the ends of one life of the worker
 	 * @param task the task
 	 * @param run the run's number
-	 * @param how how it ended
+	 * @param outcome how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 */
-	public record Ended(long number, TaskId task, int run, RunEnding how, String checkpoint) {
+	public record Ended(long sequence, TaskId task, int run, RunOutcome outcome, String checkpoint) {
 	}
 
 	/**
 	 * A run that was at work when its worker ended without notice.
 	 *
-	 * @param life the life of the worker that ended
+	 * @param incarnation the life of the worker that ended
 	 * @param task the task
 	 * @param run the run's number
-	 * @param ageMillis how long it was at work at least, in milliseconds: from the answer
-	 * to its start to the worker's last answer
+	 * @param observedRunMillis how long it was at work at least, in milliseconds: from
+	 * the answer to its start to the worker's last answer
 	 */
-	public record Crashed(WorkerLife life, TaskId task, int run, long ageMillis) {
+	public record Crashed(WorkerIncarnation incarnation, TaskId task, int run, long observedRunMillis) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/Workflow.java
+++ b/core/src/main/java/org/almondmount/workflow/Workflow.java
@@ -22,7 +22,7 @@
 	 * Tasks of one job, over all occurrences. Its progress is kept as one row of 64 KB,
 	 * which a job of so many tasks fills, compressed, to about nine tenths.
 	 */
-	public static final int MOST_TASKS = 2_500;
+	public static final int MAX_TASKS = 2_500;
 
 	public Workflow {
 		steps = List.copyOf(steps);
@@ -30,20 +30,20 @@
 			throw new InvalidValueException("steps", "is empty; give at least one step");
 		}
 		for (int number = 0; number < steps.size(); number++) {
-			requireEarlier(number, steps.get(number).after());
+			requireEarlierSteps(number, steps.get(number).dependencies());
 		}
-		long tasks = steps.stream().mapToLong(Step::count).sum() * schedule.occurrences();
-		if (tasks > MOST_TASKS) {
+		long tasks = steps.stream().mapToLong(Step::taskCount).sum() * schedule.occurrences();
+		if (tasks > MAX_TASKS) {
 			throw new InvalidValueException("steps",
-					"have " + tasks + " tasks over all occurrences; give at most " + MOST_TASKS + " and several jobs");
+					"have " + tasks + " tasks over all occurrences; give at most " + MAX_TASKS + " and several jobs");
 		}
 	}
 
-	private static void requireEarlier(int number, List<Integer> after) {
-		for (int earlier : after) {
-			if (earlier < 0 || earlier >= number) {
+	private static void requireEarlierSteps(int number, List<Integer> dependencies) {
+		for (int dependency : dependencies) {
+			if (dependency < 0 || dependency >= number) {
 				throw new InvalidValueException("steps." + number + ".after",
-						"names step " + earlier + "; name only steps that stand before it");
+						"names step " + dependency + "; name only steps that stand before it");
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 		/** Once and at once. */
 		public static final Schedule ONCE = new Schedule(0, 0, 0);
 
-		public boolean timed() {
+		public boolean hasDueTimes() {
 			return this.repetitions > 0;
 		}
 
@@ -73,8 +73,8 @@
 		 * @param occurrence its number, from 0
 		 * @return milliseconds since 1970, 0 for a job without times
 		 */
-		public long dueAt(int occurrence) {
-			return timed() ? this.firstDueMillis + occurrence * this.intervalMillis : 0;
+		public long dueAtMillis(int occurrence) {
+			return hasDueTimes() ? this.firstDueMillis + occurrence * this.intervalMillis : 0;
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/workflow/WorkflowCommand.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkflowCommand.java
@@ -9,16 +9,16 @@
 
 	/**
 	 * Keep these records in one transaction that holds only under the term's epoch;
-	 * answer with {@link WorkflowEvent.Kept}. At most one is outstanding.
+	 * answer with {@link WorkflowEvent.Persisted}. At most one is outstanding.
 	 */
-	record Keep(long sequence, List<JobRecord> records) implements WorkflowCommand {
+	record Persist(long sequence, List<JobRecord> records) implements WorkflowCommand {
 	}
 
 	/**
 	 * Begin a run.
 	 *
 	 * @param target the process beside the worker
-	 * @param life the life of the worker that is meant
+	 * @param incarnation the life of the worker that is meant
 	 * @param task the task
 	 * @param run the run's number
 	 * @param program what to run
@@ -26,23 +26,23 @@
 	 * @param capacity the worker's capacity by which it was chosen; a worker that has
 	 * less by now must not begin the run
 	 */
-	record StartRun(String target, WorkerLife life, TaskId task, int run, String program, String checkpoint,
-			ResourceAmount capacity) implements WorkflowCommand {
+	record StartRun(String target, WorkerIncarnation incarnation, TaskId task, int run, String program,
+			String checkpoint, ResourceAmount capacity) implements WorkflowCommand {
 	}
 
 	/** End a run, or make sure that it never begins. */
-	record StopRun(String target, WorkerLife life, TaskId task, int run) implements WorkflowCommand {
+	record StopRun(String target, WorkerIncarnation incarnation, TaskId task, int run) implements WorkflowCommand {
 	}
 
 	/** Ends up to that number are kept and may be forgotten. */
-	record AcknowledgeEnds(String target, WorkerLife life, long upTo) implements WorkflowCommand {
+	record AcknowledgeEnds(String target, WorkerIncarnation incarnation, long upToSequence) implements WorkflowCommand {
 	}
 
 	/**
 	 * Nobody asks for these jobs any more: remove all that is kept of them and answer
-	 * with {@link WorkflowEvent.Forgotten}.
+	 * with {@link WorkflowEvent.JobsDeleted}.
 	 */
-	record Forget(List<String> jobs) implements WorkflowCommand {
+	record DeleteJobs(List<String> jobs) implements WorkflowCommand {
 	}
 
 	/**
@@ -55,11 +55,11 @@
 	}
 
 	/** Count a job that is given up. */
-	record CountFailure(JobFailure why) implements WorkflowCommand {
+	record CountFailure(JobFailure failure) implements WorkflowCommand {
 	}
 
 	/** The cancelling of a job is kept. */
-	record CancelKept(String job) implements WorkflowCommand {
+	record CancellationPersisted(String job) implements WorkflowCommand {
 	}
 
 	/**
@@ -68,10 +68,10 @@
 	 * @param event the event's name, a constant
 	 * @param keysAndValues alternating keys and values
 	 */
-	record Explain(String event, List<Object> keysAndValues) implements WorkflowCommand {
+	record LogDecision(String event, List<Object> keysAndValues) implements WorkflowCommand {
 
-		public static Explain of(String event, Object... keysAndValues) {
-			return new Explain(event, List.of(keysAndValues));
+		public static LogDecision of(String event, Object... keysAndValues) {
+			return new LogDecision(event, List.of(keysAndValues));
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/workflow/WorkflowEvent.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkflowEvent.java
@@ -16,7 +16,7 @@
 	 * @param epoch the epoch of its term
 	 * @param jobs every job that is kept
 	 */
-	record TermBegan(long epoch, List<KeptJob> jobs) implements WorkflowEvent {
+	record TermBegan(long epoch, List<StoredJob> jobs) implements WorkflowEvent {
 	}
 
 	/** This process may no longer decide; all that is in memory is void. */
@@ -44,19 +44,19 @@
 	}
 
 	/** The process beside a worker was heard and holds a lease from now on. */
-	record WorkerHeard(String target) implements WorkflowEvent {
+	record WorkerHeartbeat(String target) implements WorkflowEvent {
 	}
 
 	/** A run was not begun on that worker and never will be. */
-	record RunRefused(String target, TaskId task, int run, String why) implements WorkflowEvent {
+	record RunRefused(String target, TaskId task, int run, String reason) implements WorkflowEvent {
 	}
 
 	/** What was asked to be kept is kept. */
-	record Kept(long sequence) implements WorkflowEvent {
+	record Persisted(long sequence) implements WorkflowEvent {
 	}
 
 	/** Nothing is kept of these jobs any more. */
-	record Forgotten(List<String> jobs) implements WorkflowEvent {
+	record JobsDeleted(List<String> jobs) implements WorkflowEvent {
 	}
 
 	/** Waiting work is to be placed now; nothing else places it. */
@@ -74,7 +74,7 @@
 	 * @param progress what is kept, empty for a job on which nothing was done
 	 * @param cancelled whether its caller wants it gone
 	 */
-	record KeptJob(Workflow job, Optional<JobRecord> progress, boolean cancelled) {
+	record StoredJob(Workflow job, Optional<JobRecord> progress, boolean cancelled) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/WorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkflowScheduler.java
@@ -15,7 +15,7 @@
 	 * @param event what happened
 	 * @return what is to be done, in order
 	 */
-	List<WorkflowCommand> handle(Instant now, WorkflowEvent event);
+	List<WorkflowCommand> handle(ClockReading now, WorkflowEvent event);
 
 	/**
 	 * Where a job stands, as it is kept.
@@ -29,14 +29,14 @@
 	 * @param job the job
 	 * @return the reason and its remedy, or empty where it was not or is not known here
 	 */
-	Optional<String> failure(String job);
+	Optional<String> failureMessage(String job);
 
 	/**
 	 * Jobs of a queue none of whose tasks has started.
 	 * @param queue the queue's name
 	 * @return a count
 	 */
-	int waiting(String queue);
+	int queuedJobCount(String queue);
 
 	/**
 	 * The driver's clocks at one moment.
@@ -44,7 +44,7 @@
 	 * @param steadyMillis a clock that never jumps
 	 * @param wallMillis milliseconds since 1970, for due times alone
 	 */
-	record Instant(long steadyMillis, long wallMillis) {
+	record ClockReading(long steadyMillis, long wallMillis) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashBlame.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashBlame.java
@@ -7,7 +7,7 @@
 
 import org.almondmount.workflow.JobRecord.Crash;
 import org.almondmount.workflow.TaskId;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport.Crashed;
 
 /**
@@ -33,21 +33,22 @@
 	 * @return the crash of each task
 	 */
 	static List<Found> judge(List<Crashed> runs) {
-		Map<WorkerLife, Map<StepOfJob, Double>> weights = new HashMap<>();
+		Map<WorkerIncarnation, Map<StepOfJob, Double>> weights = new HashMap<>();
 		for (Crashed run : runs) {
-			weights.computeIfAbsent(run.life(), (life) -> new HashMap<>())
+			weights.computeIfAbsent(run.incarnation(), (life) -> new HashMap<>())
 				.merge(StepOfJob.of(run.task()), weight(run), Math::max);
 		}
 		List<Found> found = new ArrayList<>(runs.size());
 		for (Crashed run : runs) {
-			int percent = percent(weights.get(run.life()), StepOfJob.of(run.task()));
-			found.add(new Found(run.task(), new Crash(run.run(), run.life(), true, run.ageMillis(), percent)));
+			int percent = percent(weights.get(run.incarnation()), StepOfJob.of(run.task()));
+			found.add(new Found(run.task(),
+					new Crash(run.run(), run.incarnation(), true, run.observedRunMillis(), percent)));
 		}
 		return found;
 	}
 
 	private static double weight(Crashed run) {
-		return 1 / (run.ageMillis() + HALF_AS_LIKELY_MILLIS);
+		return 1 / (run.observedRunMillis() + HALF_AS_LIKELY_MILLIS);
 	}
 
 	private static int percent(Map<StepOfJob, Double> weights, StepOfJob step) {
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
@@ -5,7 +5,7 @@
 import java.util.stream.Stream;
 
 import org.almondmount.workflow.JobRecord.Crash;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 
 /**
  * The workers that crashed under a task. Mutable; owned by the scheduler.
@@ -79,9 +79,9 @@
 		if (crash.run() <= this.forgottenUpTo) {
 			return true;
 		}
-		boolean full = !crash.seen() && this.crashes.size() >= MOST_CRASHES;
+		boolean full = !crash.confirmed() && this.crashes.size() >= MOST_CRASHES;
 		return full || this.crashes.stream()
-			.anyMatch((known) -> known.run() == crash.run() && (known.seen() || !crash.seen()));
+			.anyMatch((known) -> known.run() == crash.run() && (known.confirmed() || !crash.confirmed()));
 	}
 
 	/**
@@ -92,8 +92,8 @@
 	 * @param life the life of the worker
 	 * @return whether it counts
 	 */
-	boolean addStart(long now, int run, WorkerLife life) {
-		return this.crashes.size() >= CRASHES_OF_A_SUSPECT && add(now, Crash.unseen(run, life));
+	boolean addStart(long now, int run, WorkerIncarnation life) {
+		return this.crashes.size() >= CRASHES_OF_A_SUSPECT && add(now, Crash.unconfirmed(run, life));
 	}
 
 	/** A run of the task has shown that it is not to blame. */
@@ -157,15 +157,15 @@
 	}
 
 	private Stream<Crash> seen() {
-		return this.crashes.stream().filter(Crash::seen);
+		return this.crashes.stream().filter(Crash::confirmed);
 	}
 
 	private long oldestMillis() {
-		return seen().mapToLong(Crash::ageMillis).max().orElse(0);
+		return seen().mapToLong(Crash::observedRunMillis).max().orElse(0);
 	}
 
 	private long youngestMillis() {
-		return seen().mapToLong(Crash::ageMillis).min().orElse(0);
+		return seen().mapToLong(Crash::observedRunMillis).min().orElse(0);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
@@ -41,7 +41,7 @@
 	}
 
 	@Override
-	public List<WorkflowCommand> handle(Instant now, WorkflowEvent event) {
+	public List<WorkflowCommand> handle(ClockReading now, WorkflowEvent event) {
 		this.state.now(now);
 		if (!declared(event) && !term(event) && this.state.epoch() != 0) {
 			decide(event);
@@ -58,14 +58,14 @@
 	}
 
 	@Override
-	public Optional<String> failure(String job) {
+	public Optional<String> failureMessage(String job) {
 		return Optional.ofNullable(this.state.jobs().get(job))
 			.filter((known) -> known.keptPhase() == JobPhase.FAILED)
-			.flatMap((known) -> known.toRecord().failure());
+			.flatMap((known) -> known.toRecord().failureMessage());
 	}
 
 	@Override
-	public int waiting(String queue) {
+	public int queuedJobCount(String queue) {
 		int waiting = 0;
 		for (JobState job : this.state.jobs().values()) {
 			if (job.phase() == JobPhase.QUEUED && job.workflow().queue().equals(queue)) {
@@ -121,13 +121,13 @@
 		else if (event instanceof WorkflowEvent.WorkerReported reported) {
 			this.reports.read(reported.report());
 		}
-		else if (event instanceof WorkflowEvent.WorkerHeard heard) {
+		else if (event instanceof WorkflowEvent.WorkerHeartbeat heard) {
 			this.reports.heard(heard.target());
 		}
 		else if (event instanceof WorkflowEvent.RunRefused refused) {
-			this.reports.refused(refused.target(), refused.task(), refused.run(), refused.why());
+			this.reports.refused(refused.target(), refused.task(), refused.run(), refused.reason());
 		}
-		else if (event instanceof WorkflowEvent.Kept kept) {
+		else if (event instanceof WorkflowEvent.Persisted kept) {
 			this.state.writeAhead().kept(kept.sequence());
 		}
 		else if (event instanceof WorkflowEvent.PlacementDue) {
@@ -138,7 +138,7 @@
 			this.endedJobs.timePassed();
 			this.savedWork.timePassed();
 		}
-		else if (event instanceof WorkflowEvent.Forgotten forgotten) {
+		else if (event instanceof WorkflowEvent.JobsDeleted forgotten) {
 			this.endedJobs.forgotten(forgotten.jobs());
 		}
 	}
@@ -162,10 +162,10 @@
 			job.openRuns().forEach((run) -> this.ledger.stop(run, WorkOutcome.CANCELLED));
 			this.state.explain("job-cancelled", "job", id, "openRuns", job.openRuns().size());
 		}
-		this.state.writeAhead().afterKept(() -> this.state.emit(new WorkflowCommand.CancelKept(id)));
+		this.state.writeAhead().afterKept(() -> this.state.emit(new WorkflowCommand.CancellationPersisted(id)));
 	}
 
-	private void restore(WorkflowEvent.KeptJob kept) {
+	private void restore(WorkflowEvent.StoredJob kept) {
 		JobState job = new JobState(kept.job());
 		this.state.jobs().put(job.id(), job);
 		kept.progress().ifPresent((progress) -> restore(job, progress));
@@ -195,10 +195,10 @@
 	// Runs of earlier terms may name several lives of one worker. They are all taken to
 	// the latest one, where each is found, or stopped for certain.
 	private void inherit(TaskState task, OpenRun open) {
-		Worker worker = this.state.worker(open.target(), open.life());
-		if (worker.life().bornMillis() < open.life().bornMillis()) {
+		Worker worker = this.state.worker(open.target(), open.incarnation());
+		if (worker.life().startedAtMillis() < open.incarnation().startedAtMillis()) {
 			this.state.workers().remove(open.target());
-			Worker later = this.state.worker(open.target(), open.life());
+			Worker later = this.state.worker(open.target(), open.incarnation());
 			List.copyOf(worker.runs()).forEach((run) -> run.moveTo(later));
 			worker = later;
 		}
--- a/core/src/main/java/org/almondmount/workflow/impl/EndedJobs.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/EndedJobs.java
@@ -54,7 +54,7 @@
 			}
 		}
 		if (!forgettable.isEmpty()) {
-			this.state.emit(new WorkflowCommand.Forget(forgettable));
+			this.state.emit(new WorkflowCommand.DeleteJobs(forgettable));
 		}
 	}
 
@@ -70,11 +70,11 @@
 	// anew,
 	// which keeps it longer and never shorter.
 	private boolean isForgettable(long now, JobState job) {
-		if (!job.keptPhase().over() || !job.openRuns().isEmpty()) {
+		if (!job.keptPhase().isTerminal() || !job.openRuns().isEmpty()) {
 			return false;
 		}
 		long since = this.endedSince.computeIfAbsent(job.id(), (id) -> now);
-		return now - since >= this.state.policy().statusMillis() + LATE_REPEAT_MILLIS;
+		return now - since >= this.state.policy().endedJobRetentionMillis() + LATE_REPEAT_MILLIS;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/GangLosses.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/GangLosses.java
@@ -32,7 +32,7 @@
 	 */
 	double of(Run run) {
 		StepState step = run.task().step();
-		if (!step.spec().gang()) {
+		if (!step.spec().gangScheduled()) {
 			return alone(run);
 		}
 		return this.ofGangs.computeIfAbsent(step, this::ofGang);
--- a/core/src/main/java/org/almondmount/workflow/impl/GuaranteedJobs.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/GuaranteedJobs.java
@@ -52,7 +52,7 @@
 		long sum = 0;
 		for (StepState step : job.steps()) {
 			if (!step.done()) {
-				sum += step.spec().demand().accelerators() * step.spec().count();
+				sum += step.spec().demand().accelerators() * step.spec().taskCount();
 			}
 		}
 		return sum;
--- a/core/src/main/java/org/almondmount/workflow/impl/JobState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/JobState.java
@@ -73,7 +73,7 @@
 	}
 
 	boolean over() {
-		return this.phase.over();
+		return this.phase.isTerminal();
 	}
 
 	/**
@@ -99,7 +99,7 @@
 	 * @return whether its turn has come
 	 */
 	boolean turnOf(StepState step) {
-		for (int earlier : step.spec().after()) {
+		for (int earlier : step.spec().dependencies()) {
 			if (!step(step.occurrence(), earlier).done()) {
 				return false;
 			}
@@ -117,7 +117,7 @@
 		Collections.reverse(lastFirst);
 		for (StepState step : lastFirst) {
 			step.expect(times, followers.getOrDefault(step.key(), 0L));
-			for (int earlier : step.spec().after()) {
+			for (int earlier : step.spec().dependencies()) {
 				followers.merge(new StepKey(step.occurrence(), earlier), step.tailMillis(), Math::max);
 			}
 		}
--- a/core/src/main/java/org/almondmount/workflow/impl/Outlook.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Outlook.java
@@ -44,7 +44,7 @@
 	static Outlook of(long wallMillis, JobQueue queue, StepState step, long dueMillis, List<Worker> eligible) {
 		long latest = latestStart(queue, step, dueMillis, 1);
 		double remaining = step.job().remainingCoreSeconds();
-		if (step.spec().lasting()) {
+		if (step.spec().longRunning()) {
 			return new Outlook(Timeliness.IN_TIME, latest, remaining);
 		}
 		boolean inTime = wallMillis <= latest && fitsInTime(latest - wallMillis, step, eligible);
@@ -65,7 +65,8 @@
 	 * @return milliseconds since 1970
 	 */
 	static long latestStart(JobQueue queue, StepState step, long dueMillis, int objectives) {
-		double objective = queue.stretch() * step.job().chainMillis(step.occurrence()) + queue.latencyObjectiveMillis();
+		double objective = queue.criticalPathFactor() * step.job().chainMillis(step.occurrence())
+				+ queue.latencyAllowanceMillis();
 		return dueMillis + (long) (objectives * objective) - step.tailMillis();
 	}
 
@@ -94,8 +95,8 @@
 	}
 
 	private static long slots(Step step, ResourceAmount capacity) {
-		long slots = capacity.holds(step.room());
-		int most = step.placement().mostPerWorker();
+		long slots = capacity.countFitting(step.allocation());
+		int most = step.placement().maxPerWorker();
 		return (most > 0) ? Math.min(most, slots) : slots;
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/PlacementRound.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PlacementRound.java
@@ -187,7 +187,7 @@
 	// one task in time does not help a job whose other tasks wait. The stop itself takes
 	// time, so that a short job gains nothing by it.
 	private void makeRoomBeyondGuarantee(WorkUnit unit) {
-		boolean stopsInTime = this.state.wallMillis() + this.state.policy().stopMillis() <= unit.outlook()
+		boolean stopsInTime = this.state.wallMillis() + this.state.policy().stopTimeoutMillis() <= unit.outlook()
 			.latestStartMillis();
 		if (!stopsInTime) {
 			return;
@@ -206,7 +206,8 @@
 		if (!this.state.has(SchedulerFeature.WAIT_BEFORE_GIVING_WAY)) {
 			return false;
 		}
-		long within = whole.outlook().latestStartMillis() - this.state.wallMillis() - this.state.policy().stopMillis();
+		long within = whole.outlook().latestStartMillis() - this.state.wallMillis()
+				- this.state.policy().stopTimeoutMillis();
 		return earliest(whole).map((found) -> found.inMillis() <= within).orElse(false);
 	}
 
@@ -248,19 +249,19 @@
 	// Where urgent work of other customers took all room beyond their own guarantees.
 	private boolean isBeyondGuarantee(Run run) {
 		StepState step = run.task().step();
-		return !this.waiting.isGuaranteed(step.job()) && step.spec().service().mayMiss() == 0;
+		return !this.waiting.isGuaranteed(step.job()) && step.spec().service().maxUnavailable() == 0;
 	}
 
 	private boolean mayGiveWay(Run run) {
 		StepState step = run.task().step();
 		boolean urgent = this.state.queueOf(step.job()).map(JobQueue::urgent).orElse(false);
-		return !urgent && step.spec().service().mayMiss() == 0;
+		return !urgent && step.spec().service().maxUnavailable() == 0;
 	}
 
 	// A run that starts anew after what it gave way to has ended must still be in time.
 	private boolean hasTimeToWait(Run run, long millis) {
 		StepState step = run.task().step();
-		long again = this.state.wallMillis() + this.state.policy().stopMillis() + millis;
+		long again = this.state.wallMillis() + this.state.policy().stopTimeoutMillis() + millis;
 		return this.state.queueOf(step.job())
 			.map((queue) -> again <= Outlook.latestStart(queue, step, WaitingWork.dueMillis(step), 1))
 			.orElse(false);
@@ -271,7 +272,7 @@
 		Rooms rooms = Rooms.free();
 		this.cleared.forEach((first, placement) -> {
 			if (first != unit.first()) {
-				placement.forEach((task, worker) -> rooms.take(worker, first.step().spec().room()));
+				placement.forEach((task, worker) -> rooms.take(worker, first.step().spec().allocation()));
 			}
 		});
 		for (Reservation reservation : this.reservations) {
--- a/core/src/main/java/org/almondmount/workflow/impl/Placer.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Placer.java
@@ -93,7 +93,7 @@
 	 * else ran in it
 	 */
 	boolean goesInOneRack(WorkUnit unit, List<Worker> workers) {
-		return this.policy.has(SchedulerFeature.GANG_IN_ONE_RACK) && unit.wantsOneRack()
+		return this.policy.isEnabled(SchedulerFeature.GANG_IN_ONE_RACK) && unit.wantsOneRack()
 				&& anyRackCouldHold(unit, workers);
 	}
 
@@ -187,7 +187,7 @@
 	}
 
 	private double fitCost(Worker worker, ResourceAmount free) {
-		return this.policy.has(SchedulerFeature.PACK_TIGHTLY) ? free.shareOf(worker.capacity()) : 0;
+		return this.policy.isEnabled(SchedulerFeature.PACK_TIGHTLY) ? free.totalShareOf(worker.capacity()) : 0;
 	}
 
 	private static double farCost(String near, Worker worker) {
@@ -197,7 +197,7 @@
 	private static double freeShare(List<Worker> rack) {
 		double free = 0;
 		for (Worker worker : rack) {
-			free += worker.free().shareOf(worker.capacity());
+			free += worker.free().totalShareOf(worker.capacity());
 		}
 		return free;
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/Preemption.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Preemption.java
@@ -142,7 +142,7 @@
 			for (Run run : worker.runs()) {
 				most = (run.stopping() || this.candidates.contains(run)) ? most.plus(run.room()) : most;
 			}
-			long tasks = Math.min(this.unit.tasks().size(), most.holds(this.unit.room()));
+			long tasks = Math.min(this.unit.tasks().size(), most.countFitting(this.unit.room()));
 			if (tasks == 0) {
 				return Double.MAX_VALUE;
 			}
@@ -189,7 +189,7 @@
 		private static Set<Run> withWholeGangs(List<Run> victims) {
 			Set<Run> whole = new LinkedHashSet<>(victims);
 			for (Run victim : victims) {
-				if (victim.task().step().spec().gang()) {
+				if (victim.task().step().spec().gangScheduled()) {
 					victim.task().step().tasks().forEach((task) -> whole.addAll(task.openRuns()));
 				}
 			}
--- a/core/src/main/java/org/almondmount/workflow/impl/Rooms.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Rooms.java
@@ -74,7 +74,7 @@
 		long left = unit.tasks().size();
 		for (Worker worker : workers) {
 			if (takes(worker, unit)) {
-				left -= Math.min(free(worker).holds(unit.room()), mayTake(worker, unit));
+				left -= Math.min(free(worker).countFitting(unit.room()), mayTake(worker, unit));
 			}
 			if (left <= 0) {
 				return true;
@@ -90,7 +90,7 @@
 
 	// How many more the bound of tasks on one worker leaves.
 	private long mayTake(Worker worker, WorkUnit unit) {
-		int most = unit.step().spec().placement().mostPerWorker();
+		int most = unit.step().spec().placement().maxPerWorker();
 		if (most == 0) {
 			return Long.MAX_VALUE;
 		}
@@ -104,11 +104,11 @@
 
 	private static boolean hasToStayApart(Worker worker, WorkUnit unit) {
 		Step spec = unit.step().spec();
-		if (!spec.mindsNeighbours()) {
+		if (!spec.isColocationSensitive()) {
 			return false;
 		}
 		for (Run run : worker.runs()) {
-			if (spec.staysApartFrom(run.task().step().spec())) {
+			if (spec.conflictsWith(run.task().step().spec())) {
 				return true;
 			}
 		}
--- a/core/src/main/java/org/almondmount/workflow/impl/Run.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Run.java
@@ -5,7 +5,7 @@
 import org.almondmount.workflow.JobRecord.OpenRun;
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.WorkOutcome;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 
 /**
  * One run of a task that may be at work. Mutable; owned by the scheduler.
@@ -33,7 +33,7 @@
 	/**
 	 * The life of its worker in which it may have begun; its worker may be a later one.
 	 */
-	private WorkerLife begunIn;
+	private WorkerIncarnation begunIn;
 
 	private final long epoch;
 
@@ -72,7 +72,7 @@
 
 	private Optional<WorkOutcome> loss = Optional.empty();
 
-	private Optional<WorkerLife> lostWith = Optional.empty();
+	private Optional<WorkerIncarnation> lostWith = Optional.empty();
 
 	Run(TaskState task, int number, Worker worker, long epoch, State state) {
 		this.task = task;
@@ -95,8 +95,8 @@
 	 */
 	static Run inherited(TaskState task, OpenRun kept, Worker worker) {
 		Run run = new Run(task, kept.number(), worker, kept.epoch(), State.INHERITED);
-		run.begunIn = kept.life();
-		if (!kept.life().equals(worker.life())) {
+		run.begunIn = kept.incarnation();
+		if (!kept.incarnation().equals(worker.life())) {
 			run.workerEnded();
 		}
 		return run;
@@ -132,7 +132,7 @@
 	 * The life with which it may have ended.
 	 * @return the life, or empty where it ended otherwise
 	 */
-	Optional<WorkerLife> lostWith() {
+	Optional<WorkerIncarnation> lostWith() {
 		return this.lostWith;
 	}
 
@@ -153,7 +153,7 @@
 	}
 
 	ResourceAmount room() {
-		return this.task.step().spec().room();
+		return this.task.step().spec().allocation();
 	}
 
 	ResourceAmount chosenBy() {
--- a/core/src/main/java/org/almondmount/workflow/impl/RunLedger.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLedger.java
@@ -9,7 +9,7 @@
 import org.almondmount.workflow.JobPhase;
 import org.almondmount.workflow.JobQueue;
 import org.almondmount.workflow.JobRecord.Crash;
-import org.almondmount.workflow.RunEnding;
+import org.almondmount.workflow.RunOutcome;
 import org.almondmount.workflow.SchedulerFeature;
 import org.almondmount.workflow.WorkOutcome;
 import org.almondmount.workflow.WorkflowCommand;
@@ -72,7 +72,7 @@
 	 * @param how how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 */
-	void close(Run run, RunEnding how, String checkpoint) {
+	void close(Run run, RunOutcome how, String checkpoint) {
 		TaskState task = run.task();
 		StepState step = task.step();
 		JobState job = step.job();
@@ -94,11 +94,11 @@
 		else if (how.countsAsAttempt()) {
 			taskFailed(run);
 		}
-		if (!how.done() && how != RunEnding.LOST) {
+		if (!how.done() && how != RunOutcome.LOST) {
 			countStart(run);
 		}
 		failIfUsedUp(step.failuresCountOn(task));
-		if (step.spec().gang() && !step.done()) {
+		if (step.spec().gangScheduled() && !step.done()) {
 			stopAll(step, work.cause());
 		}
 	}
@@ -110,8 +110,8 @@
 	 */
 	void lose(Run run, WorkOutcome why) {
 		run.losesFor(why);
-		run.lostWith().ifPresent((life) -> crashed(run.task(), Crash.unseen(run.number(), life)));
-		close(run, RunEnding.LOST, "");
+		run.lostWith().ifPresent((life) -> crashed(run.task(), Crash.unconfirmed(run.number(), life)));
+		close(run, RunOutcome.LOST, "");
 	}
 
 	/**
@@ -146,7 +146,7 @@
 			return;
 		}
 		for (StepState step : job.steps()) {
-			if (step.spec().gang() && !step.done() && !step.gangIsWhole()) {
+			if (step.spec().gangScheduled() && !step.done() && !step.gangIsWhole()) {
 				stopAll(step, WorkOutcome.GANG_BROKEN);
 			}
 		}
@@ -169,7 +169,7 @@
 	void orderStart(Run run) {
 		run.ordered(this.state.steadyMillis());
 		StepState step = run.task().step();
-		String checkpoint = step.spec().gang() ? step.gangCheckpoint() : run.task().checkpoint();
+		String checkpoint = step.spec().gangScheduled() ? step.gangCheckpoint() : run.task().checkpoint();
 		this.state.emit(new WorkflowCommand.StartRun(run.worker().target(), run.worker().life(), run.task().id(),
 				run.number(), step.job().workflow().program(), checkpoint, run.chosenBy()));
 	}
@@ -210,7 +210,7 @@
 		}
 		this.state.writeAhead().changed(job);
 		this.state.explain("task-crashed-worker", "job", job.id(), "task", task.id(), "run", crash.run(), "life",
-				crash.life(), "seen", crash.seen(), "ageMillis", crash.ageMillis(), "blamePercent",
+				crash.incarnation(), "seen", crash.confirmed(), "ageMillis", crash.observedRunMillis(), "blamePercent",
 				crash.blamePercent(), "crashes", task.crashes().crashes().size(), "suspect", task.crashes().suspect());
 		giveUpIfCrashing(task);
 	}
@@ -225,7 +225,7 @@
 	private void giveUpIfCrashing(TaskState task) {
 		if (!task.step().job().over() && task.crashes().givesUp()) {
 			giveUp(task, JobFailure.WORKERS_CRASHED, "lives",
-					task.crashes().crashes().stream().map(Crash::life).toList());
+					task.crashes().crashes().stream().map(Crash::incarnation).toList());
 		}
 	}
 
@@ -249,7 +249,7 @@
 
 	private void learn(Run run) {
 		StepState step = run.task().step();
-		if (!run.seenWhole() || step.spec().lasting() || !this.state.has(SchedulerFeature.LEARN_RUN_TIMES)) {
+		if (!run.seenWhole() || step.spec().longRunning() || !this.state.has(SchedulerFeature.LEARN_RUN_TIMES)) {
 			return;
 		}
 		long millis = this.state.steadyMillis() - run.startedMillis();
@@ -259,7 +259,7 @@
 
 	private void taskDone(StepState step, TaskState task) {
 		JobState job = step.job();
-		if (step.spec().lasting()) {
+		if (step.spec().longRunning()) {
 			return;
 		}
 		step.taskDone(task);
@@ -276,7 +276,7 @@
 				&& run.worker().health().failed(this.state.steadyMillis(), job.id())) {
 			this.state.explain("worker-paused", "worker", run.worker().target(), "why", "several jobs failed there");
 		}
-		if (step.spec().lasting()) {
+		if (step.spec().longRunning()) {
 			return;
 		}
 		int failures = step.countFailure(run.task(), run.number());
--- a/core/src/main/java/org/almondmount/workflow/impl/RunWork.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunWork.java
@@ -1,6 +1,6 @@
 package org.almondmount.workflow.impl;
 
-import org.almondmount.workflow.RunEnding;
+import org.almondmount.workflow.RunOutcome;
 import org.almondmount.workflow.Step;
 import org.almondmount.workflow.WorkOutcome;
 
@@ -31,17 +31,17 @@
 	 * @param now the steady clock
 	 * @return its work
 	 */
-	static RunWork of(Run run, RunEnding how, String checkpoint, long now) {
+	static RunWork of(Run run, RunOutcome how, String checkpoint, long now) {
 		Step step = run.task().step().spec();
-		double cores = step.room().coreEquivalents();
+		double cores = step.allocation().coreEquivalents();
 		double waited = cores * run.waitedMillis(now) / MILLIS;
 		double worked = cores * run.workedMillis(now) / MILLIS;
-		if (how.done() || run.task().step().done() || step.lasting()) {
+		if (how.done() || run.task().step().done() || step.longRunning()) {
 			return new RunWork(worked, 0, waited, WorkOutcome.KEPT);
 		}
 		WorkOutcome cause = run.loss().orElseGet(() -> causeOf(run, how, now));
 		boolean jobIsOver = cause == WorkOutcome.CANCELLED || cause == WorkOutcome.JOB_FAILED;
-		double saved = (step.checkpoints() && !jobIsOver) ? cores * run.savedMillis(checkpoint, now) / MILLIS : 0;
+		double saved = (step.savesCheckpoints() && !jobIsOver) ? cores * run.savedMillis(checkpoint, now) / MILLIS : 0;
 		return new RunWork(saved, worked - saved, waited, cause);
 	}
 
@@ -56,11 +56,11 @@
 	 */
 	static double lossIfStopped(Run run, long now, long restoreMillis) {
 		Step step = run.task().step().spec();
-		double millis = step.checkpoints() ? restoreMillis : run.workedMillis(now) + ORDER_MILLIS;
-		return step.room().coreEquivalents() * (run.running() ? millis : ORDER_MILLIS) / MILLIS;
+		double millis = step.savesCheckpoints() ? restoreMillis : run.workedMillis(now) + ORDER_MILLIS;
+		return step.allocation().coreEquivalents() * (run.running() ? millis : ORDER_MILLIS) / MILLIS;
 	}
 
-	private static WorkOutcome causeOf(Run run, RunEnding how, long now) {
+	private static WorkOutcome causeOf(Run run, RunOutcome how, long now) {
 		return switch (how) {
 			case FAILED -> WorkOutcome.FAILED_TRY;
 			case LAPSED -> WorkOutcome.LEASE_LAPSED;
--- a/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
@@ -11,9 +11,9 @@
 import org.almondmount.workflow.JobQueue;
 import org.almondmount.workflow.SchedulerFeature;
 import org.almondmount.workflow.SchedulerPolicy;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkflowCommand;
-import org.almondmount.workflow.WorkflowScheduler.Instant;
+import org.almondmount.workflow.WorkflowScheduler.ClockReading;
 
 /**
  * What the parts of the scheduler share. Mutable; owned by the scheduler.
@@ -40,7 +40,7 @@
 
 	private long termBeganMillis;
 
-	private Instant now = new Instant(0, 0);
+	private ClockReading now = new ClockReading(0, 0);
 
 	SchedulerState(SchedulerPolicy policy) {
 		this.policy = policy;
@@ -51,7 +51,7 @@
 	}
 
 	boolean has(SchedulerFeature feature) {
-		return this.policy.has(feature);
+		return this.policy.isEnabled(feature);
 	}
 
 	Map<String, JobState> jobs() {
@@ -66,7 +66,7 @@
 		return this.workers;
 	}
 
-	Worker worker(String target, WorkerLife life) {
+	Worker worker(String target, WorkerIncarnation life) {
 		return this.workers.computeIfAbsent(target, (name) -> new Worker(name, life, steadyMillis()));
 	}
 
@@ -130,7 +130,7 @@
 		this.runTimes.clear();
 	}
 
-	void now(Instant instant) {
+	void now(ClockReading instant) {
 		this.now = instant;
 	}
 
@@ -147,7 +147,7 @@
 	}
 
 	void explain(String event, Object... keysAndValues) {
-		emit(WorkflowCommand.Explain.of(event, keysAndValues));
+		emit(WorkflowCommand.LogDecision.of(event, keysAndValues));
 	}
 
 	List<WorkflowCommand> commands() {
@@ -169,7 +169,7 @@
 	boolean mayStartOn(Worker worker) {
 		return worker.description().isPresent() && !worker.lapsed() && !worker.draining()
 				&& worker.epoch() >= this.epoch
-				&& steadyMillis() - worker.lastHeardMillis() <= this.policy.usableSilenceMillis()
+				&& steadyMillis() - worker.lastHeardMillis() <= this.policy.maxSilenceMillis()
 				&& !this.zonesOut.contains(worker.zone()) && worker.health().usable(steadyMillis());
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/StepState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/StepState.java
@@ -38,8 +38,8 @@
 		this.job = job;
 		this.key = key;
 		this.spec = spec;
-		this.tasks = new ArrayList<>(spec.count());
-		for (int index = 0; index < spec.count(); index++) {
+		this.tasks = new ArrayList<>(spec.taskCount());
+		for (int index = 0; index < spec.taskCount(); index++) {
 			this.tasks.add(new TaskState(this, index));
 		}
 	}
@@ -75,7 +75,7 @@
 	// The end of any member of a gang stands for all of them.
 	void taskDone(TaskState task) {
 		task.markDone();
-		if (this.spec.gang()) {
+		if (this.spec.gangScheduled()) {
 			this.tasks.forEach(TaskState::markDone);
 		}
 		this.done = this.tasks.stream().allMatch(TaskState::done);
@@ -93,7 +93,7 @@
 	 * @return the failures that count
 	 */
 	int countFailure(TaskState task, int run) {
-		if (!this.spec.gang()) {
+		if (!this.spec.gangScheduled()) {
 			task.failed();
 			return task.failures();
 		}
@@ -111,7 +111,7 @@
 	 * @return the task itself, or the first one of its gang
 	 */
 	TaskState failuresCountOn(TaskState task) {
-		return this.spec.gang() ? this.tasks.get(0) : task;
+		return this.spec.gangScheduled() ? this.tasks.get(0) : task;
 	}
 
 	int failedRun() {
--- a/core/src/main/java/org/almondmount/workflow/impl/TaskState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/TaskState.java
@@ -121,7 +121,7 @@
 		this.checkpoint = kept.checkpoint();
 		this.crashes.restore(kept.crashes());
 		if (this.index == 0) {
-			this.step.restoreFailedRun(kept.failedRun());
+			this.step.restoreFailedRun(kept.lastFailedRun());
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/WaitingWork.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WaitingWork.java
@@ -82,7 +82,7 @@
 	}
 
 	private boolean isDue(StepState step) {
-		long due = step.job().workflow().schedule().dueAt(step.occurrence());
+		long due = step.job().workflow().schedule().dueAtMillis(step.occurrence());
 		return due <= this.state.wallMillis() && step.notBeforeMillis() <= this.state.steadyMillis();
 	}
 
@@ -97,7 +97,7 @@
 		if (!this.state.has(SchedulerFeature.LATE_WAITS_BEHIND)) {
 			outlook = outlook.asIfInTime();
 		}
-		if (step.spec().gang()) {
+		if (step.spec().gangScheduled()) {
 			if (step.allIdle()) {
 				units
 					.add(new WorkUnit(queue, step, step.tasks(), eligible, outlook, guaranteed, caution(step.tasks())));
@@ -132,7 +132,7 @@
 	 */
 	static long dueMillis(StepState step) {
 		Workflow workflow = step.job().workflow();
-		return Math.max(workflow.acceptedAtMillis(), workflow.schedule().dueAt(step.occurrence()));
+		return Math.max(workflow.acceptedAtMillis(), workflow.schedule().dueAtMillis(step.occurrence()));
 	}
 
 	private List<Worker> eligible(String pool, String label) {
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkUnit.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkUnit.java
@@ -29,11 +29,11 @@
 	}
 
 	boolean gang() {
-		return this.step.spec().gang();
+		return this.step.spec().gangScheduled();
 	}
 
 	ResourceAmount room() {
-		return this.step.spec().room();
+		return this.step.spec().allocation();
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/workflow/impl/Worker.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Worker.java
@@ -6,7 +6,7 @@
 
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 
 /**
  * One life of a worker, with the runs that may be at work there. Mutable; owned by the
@@ -22,7 +22,7 @@
 
 	private final String target;
 
-	private final WorkerLife life;
+	private final WorkerIncarnation life;
 
 	private final Set<Run> runs = new LinkedHashSet<>();
 
@@ -55,7 +55,7 @@
 
 	private boolean lapsed;
 
-	Worker(String target, WorkerLife life, long heardMillis) {
+	Worker(String target, WorkerIncarnation life, long heardMillis) {
 		this.target = target;
 		this.life = life;
 		this.lastHeardMillis = heardMillis;
@@ -65,7 +65,7 @@
 		return this.target;
 	}
 
-	WorkerLife life() {
+	WorkerIncarnation life() {
 		return this.life;
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkerReports.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkerReports.java
@@ -8,7 +8,7 @@
 import org.almondmount.workflow.SchedulerFeature;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkOutcome;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 import org.almondmount.workflow.WorkflowCommand;
 
@@ -133,12 +133,12 @@
 		Worker worker = run.worker();
 		boolean leaving = worker.draining() && run.running() && !run.stopping()
 				&& this.state.has(SchedulerFeature.MOVE_FROM_LEAVING);
-		if (!leaving || run.task().step().spec().lasting()) {
+		if (!leaving || run.task().step().spec().longRunning()) {
 			return;
 		}
 		long stays = worker.leavesMillis() - now;
-		boolean saves = run.task().step().spec().checkpoints();
-		boolean going = stays <= this.state.policy().stopMillis() + ORDER_WAY_MILLIS;
+		boolean saves = run.task().step().spec().savesCheckpoints();
+		boolean going = stays <= this.state.policy().stopTimeoutMillis() + ORDER_WAY_MILLIS;
 		boolean move = saves ? going && run.leftMillis(now) > stays : cannotEndWithin(stays, now, run);
 		if (move) {
 			this.state.explain("run-moves", "task", run.task().id(), "run", run.number(), "worker", worker.target(),
@@ -162,7 +162,7 @@
 	// stopping it would throw the work of all of them away.
 	private void leaveStandstill(long now, Run run) {
 		boolean still = run.running() && !run.stopping() && !run.atItsEnd() && run.stillMillis() >= STANDSTILL_MILLIS;
-		if (!still || !this.state.has(SchedulerFeature.STOP_STANDSTILL) || run.task().step().spec().lasting()
+		if (!still || !this.state.has(SchedulerFeature.STOP_STANDSTILL) || run.task().step().spec().longRunning()
 				|| !wholeGangRuns(run)) {
 			return;
 		}
@@ -174,12 +174,12 @@
 
 	private static boolean wholeGangRuns(Run run) {
 		StepState step = run.task().step();
-		return !step.spec().gang()
+		return !step.spec().gangScheduled()
 				|| step.tasks().stream().allMatch((task) -> task.openRun(run.number()).map(Run::running).orElse(false));
 	}
 
 	private Worker currentLife(WorkerReport report) {
-		WorkerLife life = report.worker().life();
+		WorkerIncarnation life = report.worker().incarnation();
 		Worker known = this.state.workers().get(report.target());
 		if (known != null && known.life().equals(life)) {
 			known.heard(this.state.steadyMillis());
@@ -221,10 +221,10 @@
 			return;
 		}
 		Run run = known.get();
-		run.seenRunning(this.state.steadyMillis(), running.percent());
+		run.seenRunning(this.state.steadyMillis(), running.progressPercent());
 		run.seenSaved(running.checkpoint(), this.state.policy().checkpointing().intervalMillis());
 		run.task().checkpoint(running.checkpoint());
-		if (!run.task().step().spec().gang()) {
+		if (!run.task().step().spec().gangScheduled()) {
 			run.atWork(this.state.steadyMillis());
 		}
 		else if (wholeGangRuns(run)) {
@@ -243,7 +243,7 @@
 		if (worked > task.crashes().dangerousMillis()) {
 			run.worker().endProbation(run);
 		}
-		if (task.step().spec().lasting() && worked >= SOUND_MILLIS) {
+		if (task.step().spec().longRunning() && worked >= SOUND_MILLIS) {
 			task.crashes().clear();
 			this.state.writeAhead().changed(task.step().job());
 		}
@@ -265,17 +265,18 @@
 	private void ended(Worker worker, List<WorkerReport.Ended> ends) {
 		long before = worker.seenEnd();
 		for (WorkerReport.Ended end : ends) {
-			if (end.number() <= before) {
+			if (end.sequence() <= before) {
 				continue;
 			}
-			worker.seenEnd(end.number());
-			find(worker, end.task(), end.run()).ifPresent((run) -> this.ledger.close(run, end.how(), end.checkpoint()));
+			worker.seenEnd(end.sequence());
+			find(worker, end.task(), end.run())
+				.ifPresent((run) -> this.ledger.close(run, end.outcome(), end.checkpoint()));
 		}
 		long upTo = worker.seenEnd();
 		if (upTo > before) {
 			this.state.writeAhead().afterKept(() -> acknowledge(worker, upTo));
 		}
-		else if (ends.stream().anyMatch((end) -> end.number() <= worker.keptEnd())) {
+		else if (ends.stream().anyMatch((end) -> end.sequence() <= worker.keptEnd())) {
 			acknowledge(worker, worker.keptEnd());
 		}
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/WriteAhead.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WriteAhead.java
@@ -83,7 +83,7 @@
 			Batch next = this.batches.peek();
 			if (!next.records().isEmpty()) {
 				this.outstanding = true;
-				commands.add(new WorkflowCommand.Keep(++this.sequence, next.records()));
+				commands.add(new WorkflowCommand.Persist(++this.sequence, next.records()));
 				return;
 			}
 			this.batches.remove().takeEffect();
--- a/core/src/test/java/org/almondmount/worker/WorkerKeeperTests.java
+++ b/core/src/test/java/org/almondmount/worker/WorkerKeeperTests.java
@@ -8,7 +8,7 @@
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 import org.junit.jupiter.api.Test;
 
@@ -16,7 +16,7 @@
 
 class WorkerKeeperTests {
 
-	private static final WorkerLife LIFE = new WorkerLife("w", 500);
+	private static final WorkerIncarnation LIFE = new WorkerIncarnation("w", 500);
 
 	private static final ResourceAmount CAPACITY = new ResourceAmount(8_000, 8_000, 8);
 
@@ -103,7 +103,7 @@
 		ready();
 		feed(new WorkerEvent.HolderFound(2));
 		feed(new WorkerEvent.StopOrdered(1, LIFE, TASK, 1));
-		feed(new WorkerEvent.StopOrdered(2, new WorkerLife("w", 400), TASK, 1));
+		feed(new WorkerEvent.StopOrdered(2, new WorkerIncarnation("w", 400), TASK, 1));
 		assertThat(this.commands).noneMatch(WorkerCommand.Stop.class::isInstance)
 			.contains(new WorkerCommand.IgnoreOrder("stop", TASK, 1, 1, IgnoredReason.OLD_EPOCH),
 					new WorkerCommand.IgnoreOrder("stop", TASK, 1, 2, IgnoredReason.ANOTHER_LIFE));
@@ -117,7 +117,7 @@
 		feed(new WorkerEvent.Tick());
 		feed(new WorkerEvent.Described(description(false), ++this.announcements));
 		feed(new WorkerEvent.HolderFound(1));
-		feed(new WorkerEvent.Looked(1, new WorkerLife("", LIFE.bornMillis()), 900, List.of(), List.of()));
+		feed(new WorkerEvent.Looked(1, new WorkerIncarnation("", LIFE.startedAtMillis()), 900, List.of(), List.of()));
 		feed(new WorkerEvent.StopOrdered(1, LIFE, TASK, 1));
 		assertThat(this.commands).anyMatch(WorkerCommand.Stop.class::isInstance);
 	}
@@ -180,7 +180,7 @@
 		this.now += 400;
 		answerWithRunning(TASK);
 		this.now += 3_000;
-		feed(new WorkerEvent.Described(description(new WorkerLife("w", 4_000), false), ++this.announcements));
+		feed(new WorkerEvent.Described(description(new WorkerIncarnation("w", 4_000), false), ++this.announcements));
 		assertThat(this.commands)
 			.contains(new WorkerCommand.CountCrash(LIFE, List.of(new WorkerReport.Crashed(LIFE, TASK, 1, 400))));
 	}
@@ -190,7 +190,7 @@
 	void anUnansweredStartIsNoCrash() {
 		ready();
 		feed(new WorkerEvent.StartOrdered(1, 1, LIFE, TASK, 1, "program", "", CAPACITY));
-		feed(new WorkerEvent.Described(description(new WorkerLife("w", 4_000), false), ++this.announcements));
+		feed(new WorkerEvent.Described(description(new WorkerIncarnation("w", 4_000), false), ++this.announcements));
 		assertThat(this.commands).noneMatch(WorkerCommand.CountCrash.class::isInstance);
 	}
 
@@ -201,7 +201,7 @@
 		feed(new WorkerEvent.StartOrdered(1, 1, LIFE, TASK, 1, "program", "", CAPACITY));
 		feed(new WorkerEvent.StartEnded(TASK, 1, CallEnding.DONE, ""));
 		feed(new WorkerEvent.Described(description(true), ++this.announcements));
-		feed(new WorkerEvent.Described(description(new WorkerLife("w", 4_000), false), ++this.announcements));
+		feed(new WorkerEvent.Described(description(new WorkerIncarnation("w", 4_000), false), ++this.announcements));
 		assertThat(this.commands).noneMatch(WorkerCommand.CountCrash.class::isInstance);
 	}
 
@@ -218,11 +218,11 @@
 		return description(LIFE, draining);
 	}
 
-	private static WorkerDescription description(WorkerLife life, boolean draining) {
+	private static WorkerDescription description(WorkerIncarnation life, boolean draining) {
 		return description(life, CAPACITY, draining);
 	}
 
-	private static WorkerDescription description(WorkerLife life, ResourceAmount capacity, boolean draining) {
+	private static WorkerDescription description(WorkerIncarnation life, ResourceAmount capacity, boolean draining) {
 		return new WorkerDescription(life, "pool", "zone", Set.of("r1-1"), capacity, draining, 0);
 	}
 
--- a/core/src/test/java/org/almondmount/workflow/CheckpointingTests.java
+++ b/core/src/test/java/org/almondmount/workflow/CheckpointingTests.java
@@ -8,13 +8,13 @@
 class CheckpointingTests {
 
 	@Test
-	void anIntervalOfNothingIsRefusedByName() {
+	void zeroIntervalIsRejectedNamingTheField() {
 		assertThatThrownBy(() -> new Checkpointing(0, 1)).isInstanceOf(InvalidValueException.class)
 			.hasMessageContaining("intervalMillis");
 	}
 
 	@Test
-	void aNegativeTimeToGoOnIsRefusedByName() {
+	void negativeRestoreTimeIsRejectedNamingTheField() {
 		assertThatThrownBy(() -> new Checkpointing(1, -1)).isInstanceOf(InvalidValueException.class)
 			.hasMessageContaining("restoreMillis");
 	}
--- a/core/src/test/java/org/almondmount/workflow/GuaranteedGangTests.java
+++ b/core/src/test/java/org/almondmount/workflow/GuaranteedGangTests.java
@@ -16,75 +16,77 @@
 	// each of two other racks something has just begun. The gang of two could have the
 	// first rack, and the callers of ten times its work would wait for all of it anew.
 	@Test
-	void doesNotClearARackWhoseWorkIsWorthManyTimesItsOwn() {
-		beginInRacks(2);
-		List<WorkflowCommand.StartRun> large = startsOf(job("large", 1, wanting(2, 8, 60_000, 0)));
+	void doesNotPreemptARackWhoseWorkCostsManyTimesItsOwn() {
+		beginTermInFirstRack(2);
+		List<WorkflowCommand.StartRun> large = startsAfterAccepting(job("large", 1, sameRackGang(2, 8, 60_000, 0)));
 		assertThat(large).extracting(WorkflowCommand.StartRun::target).containsExactlyInAnyOrder("t0", "t1");
-		runTogether(large, 0);
+		reportRunningInFirstRack(large, 0);
 		this.now += 50_000;
-		tell(2, 1);
-		tell(3, 2);
-		startsOf(job("small", 2, timed(2, 8, 20_000))).forEach((start) -> tellRunning(start, 0));
-		runTogether(large, 80);
-		Workflow guaranteed = jobOf("other", "urgent", 0, wanting(2, 4, 2_000, 1));
+		reportIdle(2, 1);
+		reportIdle(3, 2);
+		startsAfterAccepting(job("small", 2, estimatedStep(2, 8, 20_000)))
+			.forEach((start) -> reportRunningInOwnRack(start, 0));
+		reportRunningInFirstRack(large, 80);
+		Workflow guaranteed = jobOf("other", "urgent", 0, sameRackGang(2, 4, 2_000, 1));
 		List<WorkflowCommand> commands = feed(new WorkflowEvent.JobAccepted(guaranteed));
 		assertThat(stops(commands)).isNotEmpty().allMatch((stop) -> stop.task().job().equals("small"));
 	}
 
 	@Test
-	void startsAcrossRacksOnceTheRoomIsThere() {
-		doesNotClearARackWhoseWorkIsWorthManyTimesItsOwn();
+	void startsAcrossRacksOnceCapacityIsFree() {
+		doesNotPreemptARackWhoseWorkCostsManyTimesItsOwn();
 		List<WorkflowCommand.StopRun> stops = stops(this.commands);
 		this.commands.clear();
 		for (WorkflowCommand.StopRun stop : stops) {
 			feed(new WorkflowEvent.RunRefused(stop.target(), stop.task(), stop.run(), "stopped before it began"));
 		}
 		this.now += 500;
-		tell(2, 1);
-		tell(3, 2);
-		assertThat(keepAll(this.commands)).filteredOn((start) -> start.task().job().equals("urgent"))
+		reportIdle(2, 1);
+		reportIdle(3, 2);
+		assertThat(startsAfterPersisting(this.commands)).filteredOn((start) -> start.task().job().equals("urgent"))
 			.extracting(WorkflowCommand.StartRun::target)
 			.containsExactlyInAnyOrder("t2", "t3");
 	}
 
-	private void beginInRacks(int workers) {
+	private void beginTermInFirstRack(int workers) {
 		feed(new WorkflowEvent.TermBegan(1, List.of()));
 		this.now += 2_000;
 		for (int worker = 0; worker < workers; worker++) {
-			tell(worker, 0);
+			reportIdle(worker, 0);
 		}
 	}
 
-	private void tell(int worker, int rack) {
-		feed(told(worker, rack, List.of()));
+	private void reportIdle(int worker, int rack) {
+		feed(workerReported(worker, rack, List.of()));
 	}
 
-	private void tellRunning(WorkflowCommand.StartRun start, int percent) {
+	private void reportRunningInOwnRack(WorkflowCommand.StartRun start, int percent) {
 		int worker = Integer.parseInt(start.target().substring(1));
-		feed(told(worker, worker - 1, List.of(new WorkerReport.Running(start.task(), start.run(), "", percent))));
+		feed(workerReported(worker, worker - 1,
+				List.of(new WorkerReport.Running(start.task(), start.run(), "", percent))));
 	}
 
-	private void runTogether(List<WorkflowCommand.StartRun> starts, int percent) {
+	private void reportRunningInFirstRack(List<WorkflowCommand.StartRun> starts, int percent) {
 		for (WorkflowCommand.StartRun start : starts) {
 			int worker = Integer.parseInt(start.target().substring(1));
-			feed(told(worker, 0, List.of(new WorkerReport.Running(start.task(), start.run(), "", percent))));
+			feed(workerReported(worker, 0, List.of(new WorkerReport.Running(start.task(), start.run(), "", percent))));
 		}
 	}
 
-	private static WorkflowEvent told(int worker, int rack, List<WorkerReport.Running> running) {
-		WorkerDescription said = new WorkerDescription(new WorkerLife("w" + worker, 1), "pool", "z",
+	private static WorkflowEvent workerReported(int worker, int rack, List<WorkerReport.Running> running) {
+		WorkerDescription description = new WorkerDescription(new WorkerIncarnation("w" + worker, 1), "pool", "z",
 				Set.of("r1-" + rack), CAPACITY, false, 0);
-		return new WorkflowEvent.WorkerReported(new WorkerReport("t" + worker, said, 1, running, List.of()));
+		return new WorkflowEvent.WorkerReported(new WorkerReport("t" + worker, description, 1, running, List.of()));
 	}
 
-	private static Step wanting(int count, long accelerators, long millis, int mostPerWorker) {
-		return new Step(count, amount(accelerators), millis, List.of(), false, true,
-				new Step.Placement("", "", true, mostPerWorker), false, Step.ServiceTerms.NONE);
+	private static Step sameRackGang(int count, long accelerators, long estimateMillis, int maxPerWorker) {
+		return new Step(count, amount(accelerators), estimateMillis, List.of(), false, true,
+				new Step.Placement("", "", true, maxPerWorker), false, Step.ServiceSpec.NONE);
 	}
 
-	private static Step timed(int count, long accelerators, long millis) {
-		return new Step(count, amount(accelerators), millis, List.of(), false, false, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+	private static Step estimatedStep(int count, long accelerators, long estimateMillis) {
+		return new Step(count, amount(accelerators), estimateMillis, List.of(), false, false, Step.Placement.ANYWHERE,
+				false, Step.ServiceSpec.NONE);
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/PlacementRulesTests.java
+++ b/core/src/test/java/org/almondmount/workflow/PlacementRulesTests.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.almondmount.workflow.Step.Placement;
-import org.almondmount.workflow.Step.ServiceTerms;
+import org.almondmount.workflow.Step.ServiceSpec;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -15,26 +15,27 @@
 class PlacementRulesTests extends SchedulerFixture {
 
 	@Test
-	void aTaskRunsOnlyWhereItsLabelIs() {
-		threeWorkers();
-		assertThat(startsOf(job("a", 2, placed(2, 8, false, new Placement("b", "", false, 0)))))
+	void taskRunsOnlyOnWorkersWithItsLabel() {
+		reportThreeWorkers();
+		assertThat(startsAfterAccepting(job("a", 2, stepWithPlacement(2, 8, false, new Placement("b", "", false, 0)))))
 			.extracting(WorkflowCommand.StartRun::target)
 			.containsExactly("t2");
 	}
 
 	@Test
-	void aTaskGoesNearItsDataWhileThereIsRoom() {
-		threeWorkers();
-		assertThat(startsOf(job("a", 2, placed(2, 8, false, new Placement("", "r1-2", false, 0)))))
+	void taskIsPlacedNearItsDataWhileCapacityIsFree() {
+		reportThreeWorkers();
+		assertThat(
+				startsAfterAccepting(job("a", 2, stepWithPlacement(2, 8, false, new Placement("", "r1-2", false, 0)))))
 			.extracting(WorkflowCommand.StartRun::target)
 			.first()
 			.isEqualTo("t2");
 	}
 
 	@Test
-	void tasksThatHaveToBeSpreadDoNotShareAWorker() {
-		threeWorkers();
-		assertThat(startsOf(job("a", 2, placed(4, 1, false, new Placement("", "", false, 1)))))
+	void tasksThatMustBeSpreadDoNotShareAWorker() {
+		reportThreeWorkers();
+		assertThat(startsAfterAccepting(job("a", 2, stepWithPlacement(4, 1, false, new Placement("", "", false, 1)))))
 			.extracting(WorkflowCommand.StartRun::target)
 			.containsExactlyInAnyOrder("t0", "t1", "t2");
 	}
@@ -42,12 +43,12 @@
 	// Spread over two racks the gang would take three times as long and hold its
 	// accelerators all the while. So it waits until one rack has room.
 	@Test
-	void aGangThatIsFastInOneRackWaitsForOne() {
-		threeWorkers();
-		WorkflowCommand.StartRun first = startsOf(job("first", 1, step(1, 8))).get(0);
-		run(first);
-		Step gang = placed(2, 8, true, new Placement("", "", true, 0));
-		List<WorkflowCommand.StartRun> starts = startsOf(job("gang", 1, gang));
+	void gangThatIsFasterInOneRackWaitsForOne() {
+		reportThreeWorkers();
+		WorkflowCommand.StartRun first = startsAfterAccepting(job("first", 1, step(1, 8))).get(0);
+		reportRunning(first);
+		Step gang = stepWithPlacement(2, 8, true, new Placement("", "", true, 0));
+		List<WorkflowCommand.StartRun> starts = startsAfterAccepting(job("gang", 1, gang));
 		boolean rackIsFree = first.target().equals("t2");
 		assertThat(starts).hasSize(rackIsFree ? 2 : 0);
 		assertThat(starts).extracting(WorkflowCommand.StartRun::target).doesNotContain("t2");
@@ -55,19 +56,21 @@
 
 	// Its tasks run until the job is cancelled, and are restarted however often they end.
 	@Test
-	void aTaskThatLastsIsRestartedHoweverItEnds() {
-		begin(1);
-		WorkflowCommand.StartRun start = startsOf(job("a", 2, lasting(1, 1, 0, 0, false))).get(0);
-		for (RunEnding how : List.of(RunEnding.DONE, RunEnding.FAILED, RunEnding.FAILED, RunEnding.FAILED,
-				RunEnding.STOPPED)) {
+	void longRunningTaskIsRestartedHoweverItEnds() {
+		beginTerm(1);
+		WorkflowCommand.StartRun start = startsAfterAccepting(job("a", 2, longRunningStep(1, 1, 0, 0, false))).get(0);
+		for (RunOutcome outcome : List.of(RunOutcome.DONE, RunOutcome.FAILED, RunOutcome.FAILED, RunOutcome.FAILED,
+				RunOutcome.STOPPED)) {
 			this.now += 5_000;
-			report(0, false);
-			List<WorkflowCommand.StartRun> again = keepAll(end(start, how));
+			reportIdle(0, false);
+			List<WorkflowCommand.StartRun> again = startsAfterPersisting(reportEnd(start, outcome));
 			this.now += 3_000;
-			report(0, false);
-			again.addAll(keepAll(feed(new WorkflowEvent.Tick())));
+			reportIdle(0, false);
+			again.addAll(startsAfterPersisting(feed(new WorkflowEvent.Tick())));
 			int next = start.run() + 1;
-			assertThat(again).as("after it ended %s", how).isNotEmpty().allMatch((repeated) -> repeated.run() == next);
+			assertThat(again).as("after it ended %s", outcome)
+				.isNotEmpty()
+				.allMatch((repeated) -> repeated.run() == next);
 			start = again.get(0);
 		}
 		assertThat(phase("a")).contains(JobPhase.RUNNING);
@@ -75,10 +78,10 @@
 
 	// Its users would notice that tasks are away; what is less strict gives way instead.
 	@Test
-	void aTaskWhoseAbsenceIsCountedDoesNotGiveWay() {
-		begin(1);
-		startsOf(job("serves", 2, lasting(1, 4, 100, 1, false))).forEach(this::run);
-		startsOf(job("less", 2, step(1, 4))).forEach(this::run);
+	void taskWithAnUnavailabilityLimitIsNotPreempted() {
+		beginTerm(1);
+		startsAfterAccepting(job("serves", 2, longRunningStep(1, 4, 100, 1, false))).forEach(this::reportRunning);
+		startsAfterAccepting(job("less", 2, step(1, 4))).forEach(this::reportRunning);
 		List<WorkflowCommand> urgent = feed(new WorkflowEvent.JobAccepted(job("urgent", 0, step(1, 4))));
 		assertThat(urgent).filteredOn(WorkflowCommand.StopRun.class::isInstance)
 			.extracting((stop) -> ((WorkflowCommand.StopRun) stop).task().job())
@@ -86,60 +89,62 @@
 	}
 
 	@Test
-	void whatFillsIdleTimeTakesNoProcessorAway() {
-		begin(1);
-		Step filling = new Step(3, new ResourceAmount(100_000, 1_000, 1), 1_000, List.of(), false, false,
-				Placement.ANYWHERE, false, new ServiceTerms(false, "", 0, true, 0));
-		assertThat(startsOf(job("fills", 2, filling))).hasSize(3);
+	void idleCpuTasksReserveNoCpu() {
+		beginTerm(1);
+		Step idleCpuStep = new Step(3, new ResourceAmount(100_000, 1_000, 1), 1_000, List.of(), false, false,
+				Placement.ANYWHERE, false, new ServiceSpec(false, "", 0, true, 0));
+		assertThat(startsAfterAccepting(job("fills", 2, idleCpuStep))).hasSize(3);
 	}
 
 	// A task beside it would make its response times too long, by an amount that nobody
 	// knows beforehand.
 	@Test
-	void whatFillsIdleTimeStaysAwayFromABoundOfResponseTimes() {
-		begin(2);
-		WorkflowCommand.StartRun serves = startsOf(job("serves", 2, lasting(1, 1, 100, 0, false))).get(0);
-		run(serves);
-		List<WorkflowCommand.StartRun> fills = startsOf(job("fills", 2, lasting(3, 1, 0, 0, true)));
+	void idleCpuTasksDoNotShareAWorkerWithLatencyBoundTasks() {
+		beginTerm(2);
+		WorkflowCommand.StartRun serves = startsAfterAccepting(job("serves", 2, longRunningStep(1, 1, 100, 0, false)))
+			.get(0);
+		reportRunning(serves);
+		List<WorkflowCommand.StartRun> fills = startsAfterAccepting(job("fills", 2, longRunningStep(3, 1, 0, 0, true)));
 		assertThat(fills).hasSize(3).noneMatch((start) -> start.target().equals(serves.target()));
-		assertThat(startsOf(job("more", 2, lasting(1, 1, 100, 0, false))))
+		assertThat(startsAfterAccepting(job("more", 2, longRunningStep(1, 1, 100, 0, false))))
 			.allMatch((start) -> start.target().equals(serves.target()));
 	}
 
-	private void threeWorkers() {
-		begin(0);
-		report(0, "a", "r1-1");
-		report(1, "a", "r1-1");
-		report(2, "b", "r1-2");
+	private void reportThreeWorkers() {
+		beginTerm(0);
+		reportIdle(0, "a", "r1-1");
+		reportIdle(1, "a", "r1-1");
+		reportIdle(2, "b", "r1-2");
 	}
 
-	private static Step placed(int count, long accelerators, boolean gang, Placement placement) {
+	private static Step stepWithPlacement(int count, long accelerators, boolean gang, Placement placement) {
 		return new Step(count, amount(accelerators), 10_000, List.of(), false, gang, placement, false,
-				ServiceTerms.NONE);
+				ServiceSpec.NONE);
 	}
 
-	private static Step lasting(int count, long accelerators, long latencyTarget, int mayMiss, boolean fills) {
+	private static Step longRunningStep(int count, long accelerators, long latencyTargetMillis, int maxUnavailable,
+			boolean idleCpuOnly) {
 		return new Step(count, amount(accelerators), 0, List.of(), false, false, Placement.ANYWHERE, false,
-				new ServiceTerms(true, "image", latencyTarget, fills, mayMiss));
+				new ServiceSpec(true, "image", latencyTargetMillis, idleCpuOnly, maxUnavailable));
 	}
 
 	// A gang as wide as the fleet waits for one run that will take long. Kept for it,
 	// three free workers of four would stand idle for as long, and the caller of a small
 	// job would see nothing begin though there is room for it many times over.
 	@Test
-	void roomIsNotKeptForAGangWhileMostOfTheFleetStandsIdle() {
-		begin(4);
-		startsOf(job("long", 2, step(1, 8))).forEach(this::run);
-		assertThat(startsOf(job("wide", 1, gang(4, 8)))).isEmpty();
-		assertThat(startsOf(job("small", 2, step(8, 1)))).hasSize(8);
+	void noCapacityIsReservedForAGangWhileMostOfTheFleetIsIdle() {
+		beginTerm(4);
+		startsAfterAccepting(job("long", 2, step(1, 8))).forEach(this::reportRunning);
+		assertThat(startsAfterAccepting(job("wide", 1, gangStep(4, 8)))).isEmpty();
+		assertThat(startsAfterAccepting(job("small", 2, step(8, 1)))).hasSize(8);
 	}
 
 	@Test
-	void roomIsKeptForAGangOnceHalfOfTheFleetWorks() {
-		begin(4);
-		startsOf(job("long", 2, step(3, 8))).forEach(this::run);
-		assertThat(startsOf(job("wide", 1, gang(4, 8)))).isEmpty();
-		assertThat(startsOf(job("small", 2, step(8, 1)))).isEmpty();
+	void capacityIsReservedForAGangOnceHalfOfTheFleetIsBusy() {
+		beginTerm(4);
+		startsAfterAccepting(job("long", 2, step(3, 8))).forEach(this::reportRunning);
+		assertThat(startsAfterAccepting(job("wide", 1, gangStep(4, 8)))).isEmpty();
+		assertThat(startsAfterAccepting(job("small", 2, step(8, 1)))).isEmpty();
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/SchedulerFixture.java
+++ b/core/src/test/java/org/almondmount/workflow/SchedulerFixture.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-import org.almondmount.workflow.WorkflowScheduler.Instant;
+import org.almondmount.workflow.WorkflowScheduler.ClockReading;
 import org.almondmount.workflow.impl.DefaultWorkflowScheduler;
 import org.junit.jupiter.api.BeforeEach;
 
@@ -19,7 +19,7 @@
 	static final ResourceAmount CAPACITY = new ResourceAmount(128_000, 524_288, 8);
 
 	/** After which a holder takes the workers that it knows for the whole fleet. */
-	private static final long SETTLED_MILLIS = 1_000;
+	private static final long FLEET_DISCOVERY_MILLIS = 1_000;
 
 	private final WorkflowScheduler scheduler = new DefaultWorkflowScheduler(SchedulerPolicy.DEFAULT);
 
@@ -27,7 +27,7 @@
 
 	long now = 100_000;
 
-	long ends;
+	long lastEndSequence;
 
 	@BeforeEach
 	void configure() {
@@ -39,31 +39,31 @@
 				List.of(new FleetCustomer("c", Set.of("k"), 8), new FleetCustomer("other", Set.of("o"), 8)))));
 	}
 
-	void begin(int workers) {
+	void beginTerm(int workers) {
 		feed(new WorkflowEvent.TermBegan(1, List.of()));
-		this.now += SETTLED_MILLIS;
+		this.now += FLEET_DISCOVERY_MILLIS;
 		for (int worker = 0; worker < workers; worker++) {
-			report(worker, false);
+			reportIdle(worker, false);
 		}
 	}
 
-	void report(int worker, boolean draining) {
+	void reportIdle(int worker, boolean draining) {
 		feed(new WorkflowEvent.WorkerReported(
 				new WorkerReport("t" + worker, description(worker, 1, draining), 1, List.of(), List.of())));
 	}
 
-	void report(int worker, String... labels) {
-		WorkerDescription said = new WorkerDescription(new WorkerLife("w" + worker, 1), "pool", "z", Set.of(labels),
-				CAPACITY, false, 0);
-		feed(new WorkflowEvent.WorkerReported(new WorkerReport("t" + worker, said, 1, List.of(), List.of())));
+	void reportIdle(int worker, String... labels) {
+		WorkerDescription description = new WorkerDescription(new WorkerIncarnation("w" + worker, 1), "pool", "z",
+				Set.of(labels), CAPACITY, false, 0);
+		feed(new WorkflowEvent.WorkerReported(new WorkerReport("t" + worker, description, 1, List.of(), List.of())));
 	}
 
-	static WorkerDescription description(int worker, long born, boolean draining) {
-		return new WorkerDescription(new WorkerLife("w" + worker, born), "pool", "z", Set.of("r1-1"), CAPACITY,
-				draining, 0);
+	static WorkerDescription description(int worker, long startedAtMillis, boolean draining) {
+		return new WorkerDescription(new WorkerIncarnation("w" + worker, startedAtMillis), "pool", "z", Set.of("r1-1"),
+				CAPACITY, draining, 0);
 	}
 
-	void run(WorkflowCommand.StartRun start) {
+	void reportRunning(WorkflowCommand.StartRun start) {
 		int worker = Integer.parseInt(start.target().substring(1));
 		feed(new WorkflowEvent.WorkerReported(new WorkerReport(start.target(), description(worker, 1, false), 1,
 				List.of(new WorkerReport.Running(start.task(), start.run(), "", 10)), List.of())));
@@ -72,39 +72,41 @@
 	/**
 	 * Lets half a second pass, after which the first worker tells how far two runs are.
 	 */
-	List<WorkflowCommand> progress(List<WorkflowCommand.StartRun> starts, int first, int second) {
+	List<WorkflowCommand> reportProgress(List<WorkflowCommand.StartRun> starts, int firstPercent, int secondPercent) {
 		this.now += 500;
 		List<WorkerReport.Running> running = List.of(
-				new WorkerReport.Running(starts.get(0).task(), starts.get(0).run(), "", first),
-				new WorkerReport.Running(starts.get(1).task(), starts.get(1).run(), "", second));
+				new WorkerReport.Running(starts.get(0).task(), starts.get(0).run(), "", firstPercent),
+				new WorkerReport.Running(starts.get(1).task(), starts.get(1).run(), "", secondPercent));
 		List<WorkflowCommand> commands = new ArrayList<>(feed(new WorkflowEvent.WorkerReported(
 				new WorkerReport("t0", description(0, 1, false), 1, running, List.of()))));
 		commands.addAll(feed(new WorkflowEvent.Tick()));
 		return commands;
 	}
 
-	List<WorkflowCommand> end(WorkflowCommand.StartRun start, RunEnding how) {
+	List<WorkflowCommand> reportEnd(WorkflowCommand.StartRun start, RunOutcome outcome) {
 		int worker = Integer.parseInt(start.target().substring(1));
 		return feed(new WorkflowEvent.WorkerReported(new WorkerReport(start.target(), description(worker, 1, false), 1,
-				List.of(), List.of(new WorkerReport.Ended(++this.ends, start.task(), start.run(), how, "")))));
+				List.of(),
+				List.of(new WorkerReport.Ended(++this.lastEndSequence, start.task(), start.run(), outcome, "")))));
 	}
 
-	List<WorkflowCommand> endAndKeep(WorkflowCommand.StartRun start, RunEnding how) {
+	List<WorkflowCommand> reportEndAndPersist(WorkflowCommand.StartRun start, RunOutcome outcome) {
 		List<WorkflowCommand> all = new ArrayList<>();
-		WorkflowCommand.Keep keep = keepIn(end(start, how));
-		all.addAll(feed(new WorkflowEvent.Kept(keep.sequence())));
+		WorkflowCommand.Persist persist = requirePersist(reportEnd(start, outcome));
+		all.addAll(feed(new WorkflowEvent.Persisted(persist.sequence())));
 		return all;
 	}
 
-	List<WorkflowCommand.StartRun> startsOf(Workflow job) {
-		return keepAll(feed(new WorkflowEvent.JobAccepted(job)));
+	List<WorkflowCommand.StartRun> startsAfterAccepting(Workflow job) {
+		return startsAfterPersisting(feed(new WorkflowEvent.JobAccepted(job)));
 	}
 
-	List<WorkflowCommand.StartRun> keepAll(List<WorkflowCommand> commands) {
+	List<WorkflowCommand.StartRun> startsAfterPersisting(List<WorkflowCommand> commands) {
 		List<WorkflowCommand.StartRun> starts = new ArrayList<>(starts(commands));
 		List<WorkflowCommand> next = commands;
-		for (Optional<WorkflowCommand.Keep> keep = findKeep(next); keep.isPresent(); keep = findKeep(next)) {
-			next = feed(new WorkflowEvent.Kept(keep.get().sequence()));
+		for (Optional<WorkflowCommand.Persist> persist = findPersist(next); persist
+			.isPresent(); persist = findPersist(next)) {
+			next = feed(new WorkflowEvent.Persisted(persist.get().sequence()));
 			starts.addAll(starts(next));
 		}
 		return starts;
@@ -130,14 +132,14 @@
 		return stops;
 	}
 
-	static WorkflowCommand.Keep keepIn(List<WorkflowCommand> commands) {
-		return findKeep(commands).orElseThrow();
+	static WorkflowCommand.Persist requirePersist(List<WorkflowCommand> commands) {
+		return findPersist(commands).orElseThrow();
 	}
 
-	static Optional<WorkflowCommand.Keep> findKeep(List<WorkflowCommand> commands) {
+	static Optional<WorkflowCommand.Persist> findPersist(List<WorkflowCommand> commands) {
 		for (WorkflowCommand command : commands) {
-			if (command instanceof WorkflowCommand.Keep keep) {
-				return Optional.of(keep);
+			if (command instanceof WorkflowCommand.Persist persist) {
+				return Optional.of(persist);
 			}
 		}
 		return Optional.empty();
@@ -148,15 +150,15 @@
 	 * sign of life changes nothing that a driver would place for.
 	 */
 	List<WorkflowCommand> feed(WorkflowEvent event) {
-		List<WorkflowCommand> answer = new ArrayList<>(feedAlone(event));
-		if (!(event instanceof WorkflowEvent.WorkerHeard)) {
-			answer.addAll(feedAlone(new WorkflowEvent.PlacementDue()));
+		List<WorkflowCommand> answer = new ArrayList<>(feedWithoutPlacement(event));
+		if (!(event instanceof WorkflowEvent.WorkerHeartbeat)) {
+			answer.addAll(feedWithoutPlacement(new WorkflowEvent.PlacementDue()));
 		}
 		return answer;
 	}
 
-	List<WorkflowCommand> feedAlone(WorkflowEvent event) {
-		List<WorkflowCommand> answer = this.scheduler.handle(new Instant(this.now, this.now), event);
+	List<WorkflowCommand> feedWithoutPlacement(WorkflowEvent event) {
+		List<WorkflowCommand> answer = this.scheduler.handle(new ClockReading(this.now, this.now), event);
 		this.commands.addAll(answer);
 		return answer;
 	}
@@ -167,29 +169,29 @@
 
 	static Step step(int count, long accelerators) {
 		return new Step(count, amount(accelerators), 10_000, List.of(), false, false, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+				Step.ServiceSpec.NONE);
 	}
 
-	static Step saving(int count, long accelerators) {
+	static Step checkpointedStep(int count, long accelerators) {
 		return new Step(count, amount(accelerators), 10_000, List.of(), true, false, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+				Step.ServiceSpec.NONE);
 	}
 
-	static Step gang(int count, long accelerators) {
+	static Step gangStep(int count, long accelerators) {
 		return new Step(count, amount(accelerators), 10_000, List.of(), false, true, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+				Step.ServiceSpec.NONE);
 	}
 
 	Optional<JobPhase> phase(String job) {
 		return this.scheduler.phase(job);
 	}
 
-	Workflow job(String id, int queue, Step... steps) {
-		return jobOf("c", id, queue, steps);
+	Workflow job(String id, int priority, Step... steps) {
+		return jobOf("c", id, priority, steps);
 	}
 
-	Workflow jobOf(String customer, String id, int queue, Step... steps) {
-		return new Workflow(id, "q" + queue, customer, "p", List.of(steps), Workflow.Schedule.ONCE, this.now);
+	Workflow jobOf(String customer, String id, int priority, Step... steps) {
+		return new Workflow(id, "q" + priority, customer, "p", List.of(steps), Workflow.Schedule.ONCE, this.now);
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/SchedulerPolicyTests.java
+++ b/core/src/test/java/org/almondmount/workflow/SchedulerPolicyTests.java
@@ -16,7 +16,7 @@
 	@Test
 	void oneFeatureIsSwitchedOffByItself() {
 		SchedulerPolicy policy = SchedulerPolicy.DEFAULT.without(SchedulerFeature.RESERVE_ROOM);
-		assertThat(policy.has(SchedulerFeature.RESERVE_ROOM)).isFalse();
+		assertThat(policy.isEnabled(SchedulerFeature.RESERVE_ROOM)).isFalse();
 		assertThat(policy.features()).hasSize(SchedulerFeature.ALL.size() - 1);
 		assertThat(policy.without(SchedulerFeature.RESERVE_ROOM)).isEqualTo(policy);
 	}
@@ -30,9 +30,9 @@
 	void otherSettingsKeepTheFeatures() {
 		SchedulerPolicy policy = SchedulerPolicy.DEFAULT.without(SchedulerFeature.PACK_TIGHTLY)
 			.withLeaseMillis(1)
-			.withStopMillis(2)
-			.withStatusMillis(3);
-		assertThat(policy.has(SchedulerFeature.PACK_TIGHTLY)).isFalse();
+			.withStopTimeoutMillis(2)
+			.withEndedJobRetentionMillis(3);
+		assertThat(policy.isEnabled(SchedulerFeature.PACK_TIGHTLY)).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/UrgentBurstTests.java
+++ b/core/src/test/java/org/almondmount/workflow/UrgentBurstTests.java
@@ -19,207 +19,215 @@
 	// came first, and would be late even if it got all of them. Placed by arrival, both
 	// callers get their results late.
 	@Test
-	void aJobThatCannotBeInTimeDoesNotMakeTheNextOneLate() {
-		begin(0);
+	void jobThatCannotBeInTimeDoesNotDelayTheNextOne() {
+		beginTerm(0);
 		feed(new WorkflowEvent.JobAccepted(job("wide", 0, step(9, 8))));
 		feed(new WorkflowEvent.JobAccepted(job("fits", 0, step(2, 8))));
-		report(0, false);
-		report(1, false);
-		assertThat(keepAll(this.commands)).extracting((start) -> start.task().job()).containsOnly("fits").hasSize(2);
+		reportIdle(0, false);
+		reportIdle(1, false);
+		assertThat(startsAfterPersisting(this.commands)).extracting((start) -> start.task().job())
+			.containsOnly("fits")
+			.hasSize(2);
 	}
 
 	// The fleet is full of work that has just begun and has time. The caller of an urgent
 	// job would wait for all of it to end; those of the others lose a moment.
 	@Test
-	void whatHasJustBegunAndHasTimeGivesWay() {
-		begin(2);
-		startsOf(job("less", 2, step(4, 4))).forEach(this::run);
-		assertThat(stopsFor(job("urgent", 0, step(4, 4)))).hasSize(4);
+	void recentlyStartedWorkWithSlackIsPreempted() {
+		beginTerm(2);
+		startsAfterAccepting(job("less", 2, step(4, 4))).forEach(this::reportRunning);
+		assertThat(stopsAfterAccepting(job("urgent", 0, step(4, 4)))).hasSize(4);
 	}
 
 	@Test
-	void whatWouldLoseMoreThanTheUrgentJobNeedsGoesOn() {
-		begin(2);
-		startsOf(job("less", 2, timed(4, 4, 100_000, false))).forEach(this::run);
+	void workThatWouldLoseMoreThanTheUrgentJobNeedsContinues() {
+		beginTerm(2);
+		startsAfterAccepting(job("less", 2, estimatedStep(4, 4, 100_000, false))).forEach(this::reportRunning);
 		this.now += 20_000;
-		report(0, false);
-		report(1, false);
-		assertThat(stopsFor(job("urgent", 0, step(4, 4)))).isEmpty();
+		reportIdle(0, false);
+		reportIdle(1, false);
+		assertThat(stopsAfterAccepting(job("urgent", 0, step(4, 4)))).isEmpty();
 	}
 
 	// What runs will be done in half a second, and the caller of the urgent job can wait
 	// that long. Stopped now, the other caller would lose nearly all for nothing.
 	@Test
-	void nothingGivesWayToWhatFindsRoomInTimeByItself() {
-		begin(1);
-		List<WorkflowCommand.StartRun> starts = startsOf(job("less", 2, timed(2, 4, 10_000, false)));
-		progress(starts, 0, 0);
+	void nothingIsPreemptedForAJobThatWillFindCapacityInTime() {
+		beginTerm(1);
+		List<WorkflowCommand.StartRun> starts = startsAfterAccepting(
+				job("less", 2, estimatedStep(2, 4, 10_000, false)));
+		reportProgress(starts, 0, 0);
 		this.now += 9_000;
-		progress(starts, 95, 95);
-		assertThat(stopsFor(jobOf("nobody", "urgent", 0, step(1, 8)))).isEmpty();
+		reportProgress(starts, 95, 95);
+		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, step(1, 8)))).isEmpty();
 	}
 
 	// A new holder hears of the workers one after the other. The first one is full; the
 	// next, of which it hears a moment later, has room for the urgent job. Its caller
 	// waits that moment, and nobody else loses what has run.
 	@Test
-	void nothingGivesWayBeforeANewHolderKnowsTheFleet() {
-		List<WorkflowCommand.StartRun> starts = startsInheritedBesideAnUrgentJob();
+	void nothingIsPreemptedBeforeANewHolderKnowsTheFleet() {
+		List<WorkflowCommand.StartRun> starts = beginTermWithInheritedRunsAndAnUrgentJob();
 		this.commands.clear();
-		feed(running(starts));
+		feed(runsReported(starts));
 		assertThat(this.commands).noneMatch(WorkflowCommand.StopRun.class::isInstance);
 		this.now += 20;
 		feed(new WorkflowEvent.WorkerReported(
 				new WorkerReport("t1", description(1, 1, false), 2, List.of(), List.of())));
-		assertThat(keepAll(this.commands)).extracting((start) -> start.task().job()).containsExactly("urgent");
+		assertThat(startsAfterPersisting(this.commands)).extracting((start) -> start.task().job())
+			.containsExactly("urgent");
 	}
 
 	@Test
-	void urgentWorkMakesRoomOnceANewHolderHasWaitedForTheFleet() {
-		List<WorkflowCommand.StartRun> starts = startsInheritedBesideAnUrgentJob();
+	void urgentWorkPreemptsOnceANewHolderHasWaitedForTheFleet() {
+		List<WorkflowCommand.StartRun> starts = beginTermWithInheritedRunsAndAnUrgentJob();
 		this.now += 1_000;
 		this.commands.clear();
-		feed(running(starts));
+		feed(runsReported(starts));
 		assertThat(this.commands).filteredOn(WorkflowCommand.StopRun.class::isInstance).hasSize(2);
 	}
 
 	// The gang's two members are one piece of work. Counted once a member for each member
 	// it looked twice as dear as it is, and the urgent job waited for its end.
 	@Test
-	void theWorkOfAGangCountsOnce() {
-		begin(1);
-		startsOf(job("less", 2, gang(2, 4))).forEach(this::run);
+	void lostWorkOfAGangCountsOnce() {
+		beginTerm(1);
+		startsAfterAccepting(job("less", 2, gangStep(2, 4))).forEach(this::reportRunning);
 		this.now += 2_000;
-		report(0, false);
-		assertThat(stopsFor(jobOf("nobody", "urgent", 0, timed(1, 8, 2_000, false)))).hasSize(2);
+		reportIdle(0, false);
+		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, estimatedStep(1, 8, 2_000, false)))).hasSize(2);
 	}
 
 	// The cheap small runs alone do not make room for it. Once the large one has to go
 	// there is no need for all of them to stop.
 	@Test
-	void noRunGivesWayWhoseRoomIsNotNeeded() {
-		begin(1);
-		startsOf(job("small", 2, step(4, 1))).forEach(this::run);
-		startsOf(job("large", 2, step(1, 4))).forEach(this::run);
-		assertThat(stopsFor(jobOf("nobody", "urgent", 0, step(1, 5)))).hasSize(2);
+	void runIsNotPreemptedIfItsCapacityIsNotNeeded() {
+		beginTerm(1);
+		startsAfterAccepting(job("small", 2, step(4, 1))).forEach(this::reportRunning);
+		startsAfterAccepting(job("large", 2, step(1, 4))).forEach(this::reportRunning);
+		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, step(1, 5)))).hasSize(2);
 	}
 
 	// What saves its progress loses a moment, whatever it has done so far.
 	@Test
-	void whatSavesGivesWayBeforeWhatDoesNot() {
-		begin(2);
-		List<WorkflowCommand.StartRun> lasting = startsOf(job("saves", 2, timed(1, 8, 100_000, true)));
-		lasting.forEach(this::run);
-		startsOf(job("loses", 2, timed(1, 8, 100_000, false))).forEach(this::run);
+	void workWithCheckpointsIsPreemptedFirst() {
+		beginTerm(2);
+		List<WorkflowCommand.StartRun> checkpointed = startsAfterAccepting(
+				job("saves", 2, estimatedStep(1, 8, 100_000, true)));
+		checkpointed.forEach(this::reportRunning);
+		startsAfterAccepting(job("loses", 2, estimatedStep(1, 8, 100_000, false))).forEach(this::reportRunning);
 		this.now += 2_000;
-		report(0, false);
-		report(1, false);
-		assertThat(stopsFor(jobOf("nobody", "urgent", 0, step(1, 8)))).extracting((stop) -> stop.task().job())
+		reportIdle(0, false);
+		reportIdle(1, false);
+		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, step(1, 8))))
+			.extracting((stop) -> stop.task().job())
 			.containsExactly("saves");
 	}
 
 	@Test
-	void whatWouldBeLateItselfGoesOn() {
-		begin(2);
-		startsOf(job("less", 2, timed(4, 4, 10_000, true))).forEach(this::run);
+	void workThatWouldBecomeLateIsNotPreempted() {
+		beginTerm(2);
+		startsAfterAccepting(job("less", 2, estimatedStep(4, 4, 10_000, true))).forEach(this::reportRunning);
 		this.now += 12_000;
-		report(0, false);
-		report(1, false);
-		assertThat(stopsFor(job("urgent", 0, step(4, 4)))).isEmpty();
+		reportIdle(0, false);
+		reportIdle(1, false);
+		assertThat(stopsAfterAccepting(job("urgent", 0, step(4, 4)))).isEmpty();
 	}
 
 	// Three of four tasks would fit after a stop. The caller would still wait for the
 	// fourth, and what was stopped for the three had lost its work for nothing.
 	@Test
-	void nothingGivesWayToAJobOfWhichOnlyAPartWouldFit() {
-		begin(2);
-		startsOf(jobOf("other", "hers", 0, step(1, 4))).forEach(this::run);
-		startsOf(job("less", 2, step(3, 4))).forEach(this::run);
-		assertThat(stopsFor(job("urgent", 0, gang(4, 4)))).isEmpty();
+	void nothingIsPreemptedForAJobThatWouldFitOnlyInPart() {
+		beginTerm(2);
+		startsAfterAccepting(jobOf("other", "hers", 0, step(1, 4))).forEach(this::reportRunning);
+		startsAfterAccepting(job("less", 2, step(3, 4))).forEach(this::reportRunning);
+		assertThat(stopsAfterAccepting(job("urgent", 0, gangStep(4, 4)))).isEmpty();
 	}
 
 	@Test
-	void nothingGivesWayToAJobThatTheStopItselfMakesLate() {
-		begin(2);
-		startsOf(job("less", 2, step(4, 4))).forEach(this::run);
-		Workflow old = job("urgent", 0, timed(4, 4, 300, false));
+	void nothingIsPreemptedForAJobThatTheStopTimeMakesLate() {
+		beginTerm(2);
+		startsAfterAccepting(job("less", 2, step(4, 4))).forEach(this::reportRunning);
+		Workflow urgent = job("urgent", 0, estimatedStep(4, 4, 300, false));
 		this.now += 800;
-		report(0, false);
-		report(1, false);
-		assertThat(stopsFor(old)).isEmpty();
+		reportIdle(0, false);
+		reportIdle(1, false);
+		assertThat(stopsAfterAccepting(urgent)).isEmpty();
 	}
 
 	// Another customer's urgent work has filled the fleet beyond its own guarantee.
 	// Nothing
 	// less urgent is left to stop, and the guarantee has to be there all the same.
 	@Test
-	void aGuaranteeIsReclaimedFromUrgentWorkBeyondAnotherOne() {
-		begin(2);
-		startsOf(jobOf("other", "hers", 0, step(4, 4))).forEach(this::run);
-		assertThat(stopsFor(job("mine", 0, step(2, 4)))).hasSize(2);
+	void guaranteeIsReclaimedFromUrgentWorkBeyondAnotherGuarantee() {
+		beginTerm(2);
+		startsAfterAccepting(jobOf("other", "hers", 0, step(4, 4))).forEach(this::reportRunning);
+		assertThat(stopsAfterAccepting(job("mine", 0, step(2, 4)))).hasSize(2);
 	}
 
 	// What is of no use any more waits behind work of any priority that is.
 	@Test
-	void anExpiredJobWaitsBehindLessUrgentWorkThatIsOfUse() {
-		begin(0);
+	void expiredJobWaitsBehindLessUrgentWorkThatIsStillUseful() {
+		beginTerm(0);
 		feed(new WorkflowEvent.JobAccepted(job("expired", 0, step(2, 8))));
 		this.now += 100_000;
 		feed(new WorkflowEvent.JobAccepted(job("fresh", 2, step(1, 8))));
-		report(0, false);
-		assertThat(keepAll(this.commands)).extracting((start) -> start.task().job()).containsExactly("fresh");
+		reportIdle(0, false);
+		assertThat(startsAfterPersisting(this.commands)).extracting((start) -> start.task().job())
+			.containsExactly("fresh");
 	}
 
 	// A stream of newer jobs would keep an old one waiting for ever.
 	@Test
-	void aJobThatWaitedVeryLongGoesFirstAgain() {
-		begin(0);
+	void jobThatWaitedVeryLongIsPlacedFirstAgain() {
+		beginTerm(0);
 		feed(new WorkflowEvent.JobAccepted(job("starved", 2, step(2, 8))));
 		this.now += 300_000;
 		feed(new WorkflowEvent.JobAccepted(job("fresh", 2, step(1, 8))));
-		report(0, false);
-		assertThat(keepAll(this.commands)).extracting((start) -> start.task().job()).containsExactly("starved");
+		reportIdle(0, false);
+		assertThat(startsAfterPersisting(this.commands)).extracting((start) -> start.task().job())
+			.containsExactly("starved");
 	}
 
 	// A term begins that inherits a worker full of less urgent work, and an urgent job.
-	private List<WorkflowCommand.StartRun> startsInheritedBesideAnUrgentJob() {
-		begin(1);
+	private List<WorkflowCommand.StartRun> beginTermWithInheritedRunsAndAnUrgentJob() {
+		beginTerm(1);
 		Workflow less = job("less", 2, step(2, 4));
-		List<WorkflowCommand.StartRun> starts = startsOf(less);
-		starts.forEach(this::run);
+		List<WorkflowCommand.StartRun> starts = startsAfterAccepting(less);
+		starts.forEach(this::reportRunning);
 		Workflow urgent = jobOf("nobody", "urgent", 0, step(1, 8));
 		feed(new WorkflowEvent.TermBegan(2,
-				List.of(kept(less, starts), new WorkflowEvent.KeptJob(urgent, Optional.empty(), false))));
+				List.of(storedJob(less, starts), new WorkflowEvent.StoredJob(urgent, Optional.empty(), false))));
 		return starts;
 	}
 
-	private static WorkflowEvent.KeptJob kept(Workflow job, List<WorkflowCommand.StartRun> starts) {
+	private static WorkflowEvent.StoredJob storedJob(Workflow job, List<WorkflowCommand.StartRun> starts) {
 		List<JobRecord.TaskRecord> tasks = new ArrayList<>();
 		for (WorkflowCommand.StartRun start : starts) {
 			tasks.add(new JobRecord.TaskRecord(new JobRecord.StepKey(0, 0), start.task().index(), start.run(), 0, false,
-					"", List.of(new JobRecord.OpenRun(start.run(), start.target(), start.life(), 1))));
+					"", List.of(new JobRecord.OpenRun(start.run(), start.target(), start.incarnation(), 1))));
 		}
-		return new WorkflowEvent.KeptJob(job, Optional.of(new JobRecord(job.id(), JobPhase.RUNNING, List.of(), tasks)),
-				false);
+		return new WorkflowEvent.StoredJob(job,
+				Optional.of(new JobRecord(job.id(), JobPhase.RUNNING, List.of(), tasks)), false);
 	}
 
-	private static WorkflowEvent running(List<WorkflowCommand.StartRun> starts) {
+	private static WorkflowEvent runsReported(List<WorkflowCommand.StartRun> starts) {
 		List<WorkerReport.Running> running = new ArrayList<>();
 		starts.forEach((start) -> running.add(new WorkerReport.Running(start.task(), start.run(), "", 0)));
 		return new WorkflowEvent.WorkerReported(
 				new WorkerReport("t0", description(0, 1, false), 2, running, List.of()));
 	}
 
-	private List<WorkflowCommand.StopRun> stopsFor(Workflow job) {
+	private List<WorkflowCommand.StopRun> stopsAfterAccepting(Workflow job) {
 		return feed(new WorkflowEvent.JobAccepted(job)).stream()
 			.filter(WorkflowCommand.StopRun.class::isInstance)
 			.map(WorkflowCommand.StopRun.class::cast)
 			.toList();
 	}
 
-	private static Step timed(int count, long accelerators, long millis, boolean checkpoints) {
-		return new Step(count, amount(accelerators), millis, List.of(), checkpoints, false, Step.Placement.ANYWHERE,
-				false, Step.ServiceTerms.NONE);
+	private static Step estimatedStep(int count, long accelerators, long estimateMillis, boolean savesCheckpoints) {
+		return new Step(count, amount(accelerators), estimateMillis, List.of(), savesCheckpoints, false,
+				Step.Placement.ANYWHERE, false, Step.ServiceSpec.NONE);
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/WorkflowTests.java
+++ b/core/src/test/java/org/almondmount/workflow/WorkflowTests.java
@@ -12,26 +12,26 @@
 	// Two steps that wait for each other never run, and whoever follows the chain of them
 	// never comes to its end.
 	@Test
-	void aStepThatWaitsForALaterOneIsRefused() {
+	void stepDependingOnALaterStepIsRejected() {
 		assertThatThrownBy(
-				() -> new Workflow("a", "q", "c", "p", List.of(after(1), after(0)), Workflow.Schedule.ONCE, 0))
+				() -> new Workflow("a", "q", "c", "p", List.of(stepAfter(1), stepAfter(0)), Workflow.Schedule.ONCE, 0))
 			.isInstanceOf(InvalidValueException.class)
 			.hasMessageContaining("steps.0.after");
 	}
 
 	// One job with a million tasks would fill the memory of every entry that reads it.
 	@Test
-	void aJobWithMoreTasksThanCanBeKeptIsRefused() {
+	void jobWithMoreTasksThanCanBeStoredIsRejected() {
 		Step step = new Step(1_000, ResourceAmount.NONE, 1_000, List.of(), false, false, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+				Step.ServiceSpec.NONE);
 		assertThatThrownBy(() -> new Workflow("a", "q", "c", "p", List.of(step), new Workflow.Schedule(0, 1, 4), 0))
 			.isInstanceOf(InvalidValueException.class)
 			.hasMessageContaining("at most 2500");
 	}
 
-	private static Step after(int step) {
+	private static Step stepAfter(int step) {
 		return new Step(1, ResourceAmount.NONE, 1_000, List.of(step), false, false, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+				Step.ServiceSpec.NONE);
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
@@ -1,14 +1,14 @@
 package org.almondmount.workflow.impl;
 
 import org.almondmount.workflow.JobRecord.Crash;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 class CrashHistoryTests {
 
-	private static final WorkerLife LIFE = new WorkerLife("worker-1", 1);
+	private static final WorkerIncarnation LIFE = new WorkerIncarnation("worker-1", 1);
 
 	private final CrashHistory crashes = new CrashHistory();
 
--- a/core/src/test/java/org/almondmount/workflow/impl/RoomsTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/RoomsTests.java
@@ -13,7 +13,7 @@
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.Step;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.Workflow;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -80,7 +80,7 @@
 	private List<Worker> workers(Random random) {
 		List<Worker> workers = new ArrayList<>();
 		for (int number = 0; number < 1 + random.nextInt(6); number++) {
-			WorkerLife life = new WorkerLife("w" + number, 1);
+			WorkerIncarnation life = new WorkerIncarnation("w" + number, 1);
 			Worker worker = new Worker("t" + number, life, 0);
 			worker.describe(NOW, new WorkerDescription(life, "pool", "z", Set.of("r1-1"), CAPACITY, false, 0));
 			fill(random, worker);
@@ -110,7 +110,7 @@
 		Step.Placement placement = new Step.Placement("", "", false, random.nextInt(3));
 		boolean fillsIdle = random.nextInt(6) == 0;
 		long latencyTarget = (random.nextInt(6) == 0) ? 50 : 0;
-		Step.ServiceTerms terms = new Step.ServiceTerms(false, "image", latencyTarget, fillsIdle, 0);
+		Step.ServiceSpec terms = new Step.ServiceSpec(false, "image", latencyTarget, fillsIdle, 0);
 		ResourceAmount demand = new ResourceAmount(1_000L * random.nextInt(20), 1_000L * random.nextInt(60),
 				random.nextInt(5));
 		Step spec = new Step(count, demand, 1_000L * (1 + random.nextInt(20)), List.of(), false, true, placement, false,
--- a/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
+++ b/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
@@ -19,7 +19,7 @@
 import org.almondmount.workflow.JobRecord.TaskRecord;
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.Step;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.Workflow;
 
 /**
@@ -56,7 +56,7 @@
 		ObjectNode out = JSON.createObjectNode();
 		out.put("id", job.id()).put("queue", job.queue()).put("customer", job.customer());
 		out.put("program", job.program()).put("acceptedAt", job.acceptedAtMillis());
-		if (job.schedule().timed()) {
+		if (job.schedule().hasDueTimes()) {
 			ObjectNode schedule = out.putObject("schedule");
 			schedule.put("first", job.schedule().firstDueMillis()).put("interval", job.schedule().intervalMillis());
 			schedule.put("times", job.schedule().repetitions());
@@ -107,29 +107,29 @@
 
 	private static ObjectNode step(Step step) {
 		ObjectNode out = JSON.createObjectNode();
-		out.put("count", step.count());
+		out.put("count", step.taskCount());
 		out.putArray("demand")
 			.add(step.demand().cpuMillis())
 			.add(step.demand().memoryMb())
 			.add(step.demand().accelerators());
 		out.put("estimate", step.estimateMillis());
 		ArrayNode after = out.putArray("after");
-		step.after().forEach(after::add);
-		putTrue(out, "checkpoints", step.checkpoints());
-		putTrue(out, "gang", step.gang());
+		step.dependencies().forEach(after::add);
+		putTrue(out, "checkpoints", step.savesCheckpoints());
+		putTrue(out, "gang", step.gangScheduled());
 		putTrue(out, "duplicates", step.duplicatesAllowed());
 		Step.Placement placement = step.placement();
 		if (!placement.equals(Step.Placement.ANYWHERE)) {
 			ObjectNode where = out.putObject("placement");
 			where.put("label", placement.requiredLabel()).put("dataRack", placement.dataRack());
-			where.put("sameRack", placement.sameRack()).put("mostPerWorker", placement.mostPerWorker());
+			where.put("sameRack", placement.sameRack()).put("mostPerWorker", placement.maxPerWorker());
 		}
-		Step.ServiceTerms service = step.service();
-		if (!service.equals(Step.ServiceTerms.NONE)) {
+		Step.ServiceSpec service = step.service();
+		if (!service.equals(Step.ServiceSpec.NONE)) {
 			ObjectNode terms = out.putObject("service");
-			terms.put("lasting", service.lasting()).put("image", service.image());
-			terms.put("latencyTarget", service.latencyTargetMillis()).put("fillsIdle", service.fillsIdle());
-			terms.put("mayMiss", service.mayMiss());
+			terms.put("lasting", service.longRunning()).put("image", service.image());
+			terms.put("latencyTarget", service.latencyTargetMillis()).put("fillsIdle", service.idleCpuOnly());
+			terms.put("mayMiss", service.maxUnavailable());
 		}
 		return out;
 	}
@@ -143,8 +143,8 @@
 				: new Step.Placement(where.path("label").asText(), where.path("dataRack").asText(),
 						where.path("sameRack").asBoolean(), where.path("mostPerWorker").asInt());
 		JsonNode terms = in.path("service");
-		Step.ServiceTerms service = terms.isMissingNode() ? Step.ServiceTerms.NONE
-				: new Step.ServiceTerms(terms.path("lasting").asBoolean(), terms.path("image").asText(),
+		Step.ServiceSpec service = terms.isMissingNode() ? Step.ServiceSpec.NONE
+				: new Step.ServiceSpec(terms.path("lasting").asBoolean(), terms.path("image").asText(),
 						terms.path("latencyTarget").asLong(), terms.path("fillsIdle").asBoolean(),
 						terms.path("mayMiss").asInt());
 		return new Step(in.path("count").asInt(), amount, in.path("estimate").asLong(),
@@ -161,12 +161,12 @@
 			runs.addArray()
 				.add(run.number())
 				.add(run.target())
-				.add(run.life().worker())
-				.add(run.life().bornMillis())
+				.add(run.incarnation().worker())
+				.add(run.incarnation().startedAtMillis())
 				.add(run.epoch());
 		}
-		if (task.failedRun() != 0 || !task.crashes().isEmpty()) {
-			out.add(task.failedRun());
+		if (task.lastFailedRun() != 0 || !task.crashes().isEmpty()) {
+			out.add(task.lastFailedRun());
 		}
 		if (!task.crashes().isEmpty()) {
 			crashes(out.addArray(), task.crashes());
@@ -178,16 +178,16 @@
 		for (Crash crash : crashes) {
 			out.addArray()
 				.add(crash.run())
-				.add(crash.life().worker())
-				.add(crash.life().bornMillis())
-				.add(crash.seen() ? 1 : 0)
-				.add(crash.ageMillis())
+				.add(crash.incarnation().worker())
+				.add(crash.incarnation().startedAtMillis())
+				.add(crash.confirmed() ? 1 : 0)
+				.add(crash.observedRunMillis())
 				.add(crash.blamePercent());
 		}
 	}
 
 	private static Crash readCrash(JsonNode in) {
-		WorkerLife life = new WorkerLife(in.path(1).asText(), in.path(2).asLong());
+		WorkerIncarnation life = new WorkerIncarnation(in.path(1).asText(), in.path(2).asLong());
 		return new Crash(in.path(0).asInt(), life, in.path(3).asInt() == 1, in.path(4).asLong(), in.path(5).asInt());
 	}
 
@@ -200,7 +200,7 @@
 
 	private static OpenRun readRun(JsonNode in) {
 		return new OpenRun(in.path(0).asInt(), in.path(1).asText(),
-				new WorkerLife(in.path(2).asText(), in.path(3).asLong()), in.path(4).asLong());
+				new WorkerIncarnation(in.path(2).asText(), in.path(3).asLong()), in.path(4).asLong());
 	}
 
 	private static void putTrue(ObjectNode out, String field, boolean value) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -120,8 +120,8 @@
 				store, this.loop, this.patience, telemetry, this::writesOf, new TermListener());
 		this.holder = new HolderDesk(
 				new DefaultWorkflowScheduler(SchedulerPolicy.DEFAULT.withLeaseMillis(settings.lease().toMillis())
-					.withStopMillis(settings.stop().toMillis())
-					.withStatusMillis(settings.status().toMillis())
+					.withStopTimeoutMillis(settings.stop().toMillis())
+					.withEndedJobRetentionMillis(settings.status().toMillis())
 					.withCheckpointing(settings.checkpointing())
 					.withFeatures(settings.features())),
 				store, this.loop, telemetry, this.term, this.targets, settings.lease().toMillis());
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FrontDesk.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FrontDesk.java
@@ -187,7 +187,7 @@
 			Optional<Row> row = only(found, progress);
 			if (row.isPresent()) {
 				JobRecord kept = RecordCodec.readProgress(row.get().value().orElseThrow());
-				outcome.complete(new JobAnswer.Known(kept.phase(), kept.failure().orElse("")));
+				outcome.complete(new JobAnswer.Known(kept.phase(), kept.failureMessage().orElse("")));
 				return;
 			}
 			readIntake(job, until, outcome);
--- a/fleet/src/main/java/org/almondmount/fleet/entry/HolderDesk.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/HolderDesk.java
@@ -29,12 +29,12 @@
 import org.almondmount.workflow.JobFailure;
 import org.almondmount.workflow.JobPhase;
 import org.almondmount.workflow.JobRecord;
-import org.almondmount.workflow.PlacementPace;
+import org.almondmount.workflow.PlacementRateLimiter;
 import org.almondmount.workflow.WorkOutcome;
 import org.almondmount.workflow.Workflow;
 import org.almondmount.workflow.WorkflowCommand;
 import org.almondmount.workflow.WorkflowEvent;
-import org.almondmount.workflow.WorkflowEvent.KeptJob;
+import org.almondmount.workflow.WorkflowEvent.StoredJob;
 import org.almondmount.workflow.WorkflowScheduler;
 
 /**
@@ -91,7 +91,7 @@
 
 	private final long leaseMillis;
 
-	private final PlacementPace pace = new PlacementPace();
+	private final PlacementRateLimiter pace = new PlacementRateLimiter();
 
 	/** Whether a round waits in the loop behind the events that came before it. */
 	private boolean placementAsked;
@@ -158,7 +158,7 @@
 	}
 
 	void saved(long sequence) {
-		feed(new WorkflowEvent.Kept(sequence));
+		feed(new WorkflowEvent.Persisted(sequence));
 	}
 
 	List<Write> writesOf(long sequence) {
@@ -208,11 +208,11 @@
 	 * @return the reason, or empty where it was not given up or is not known here
 	 */
 	String failure(String job) {
-		return this.scheduler.failure(job).orElse("");
+		return this.scheduler.failureMessage(job).orElse("");
 	}
 
 	int waiting(String queue) {
-		return this.scheduler.waiting(queue);
+		return this.scheduler.queuedJobCount(queue);
 	}
 
 	/**
@@ -234,7 +234,7 @@
 		if (message instanceof Message.TargetAlive alive) {
 			boolean workerAnswers = alive.heartbeat() != WorkerCommand.SendHeartbeat.WORKER_SILENT;
 			if (workerAnswers) {
-				feed(new WorkflowEvent.WorkerHeard(target));
+				feed(new WorkflowEvent.WorkerHeartbeat(target));
 			}
 			if (this.term.mayDecide()) {
 				this.targets.granted(target, alive.heartbeat(), this.term.epoch(),
@@ -251,8 +251,8 @@
 
 	private void feed(WorkflowEvent event) {
 		handle(event);
-		if (!(event instanceof WorkflowEvent.WorkerHeard)) {
-			this.pace.want();
+		if (!(event instanceof WorkflowEvent.WorkerHeartbeat)) {
+			this.pace.requestRound();
 			askForPlacement();
 		}
 	}
@@ -260,7 +260,7 @@
 	// The round goes behind what waits in the loop already, so that a burst of events is
 	// placed once. Where it rests, or the loop is full, the next tick asks again.
 	private void askForPlacement() {
-		if (!this.placementAsked && deciding() && this.pace.due(this.loop.steadyMillis())) {
+		if (!this.placementAsked && deciding() && this.pace.isDue(this.loop.steadyMillis())) {
 			this.placementAsked = this.loop.run(this::place);
 		}
 	}
@@ -273,21 +273,22 @@
 		long from = this.loop.steadyMillis();
 		handle(new WorkflowEvent.PlacementDue());
 		long to = this.loop.steadyMillis();
-		this.pace.placed(from, to);
+		this.pace.recordRound(from, to);
 		this.telemetry.time(PLACEMENT, Duration.ofMillis(to - from));
 	}
 
 	private void handle(WorkflowEvent event) {
-		WorkflowScheduler.Instant now = new WorkflowScheduler.Instant(this.loop.steadyMillis(), this.loop.wallMillis());
+		WorkflowScheduler.ClockReading now = new WorkflowScheduler.ClockReading(this.loop.steadyMillis(),
+				this.loop.wallMillis());
 		List<WorkflowCommand> commands = this.scheduler.handle(now, event);
 		commands.forEach(this::carryOut);
 	}
 
 	private void carryOut(WorkflowCommand command) {
-		if (command instanceof WorkflowCommand.Explain explain) {
+		if (command instanceof WorkflowCommand.LogDecision explain) {
 			LOG.info(explain.event(), explain.keysAndValues().toArray());
 		}
-		else if (command instanceof WorkflowCommand.Keep keep) {
+		else if (command instanceof WorkflowCommand.Persist keep) {
 			this.saving = keep.records();
 			this.savingSequence = keep.sequence();
 			this.term.save(keep.sequence());
@@ -296,12 +297,12 @@
 			this.telemetry.count(WORK, work.outcome(), Math.round(work.coreSeconds()));
 		}
 		else if (command instanceof WorkflowCommand.CountFailure failure) {
-			this.telemetry.count(FAILED, failure.why());
+			this.telemetry.count(FAILED, failure.failure());
 		}
-		else if (command instanceof WorkflowCommand.Forget forget) {
+		else if (command instanceof WorkflowCommand.DeleteJobs forget) {
 			forget(forget.jobs());
 		}
-		else if (command instanceof WorkflowCommand.CancelKept kept) {
+		else if (command instanceof WorkflowCommand.CancellationPersisted kept) {
 			List<Consumer<Boolean>> waiting = this.cancels.remove(kept.job());
 			if (waiting != null) {
 				waiting.forEach((taker) -> taker.accept(true));
@@ -331,7 +332,7 @@
 		}
 		remove(rows, () -> forgetProgress(jobs, () -> {
 			this.cancelRows.removeAll(jobs);
-			feed(new WorkflowEvent.Forgotten(jobs));
+			feed(new WorkflowEvent.JobsDeleted(jobs));
 		}));
 	}
 
@@ -387,9 +388,9 @@
 				cancelled.add(Tables.jobOf(row.place()));
 			}
 		}
-		List<KeptJob> kept = new ArrayList<>();
+		List<StoredJob> kept = new ArrayList<>();
 		for (Workflow job : jobs.values()) {
-			kept.add(new KeptJob(job, Optional.ofNullable(records.get(job.id())), cancelled.contains(job.id())));
+			kept.add(new StoredJob(job, Optional.ofNullable(records.get(job.id())), cancelled.contains(job.id())));
 		}
 		LOG.info("term-loaded", "epoch", epoch, "jobs", kept.size(), "cancelled", cancelled.size());
 		this.cancelRows.clear();
@@ -487,7 +488,7 @@
 	// count once the job is known, or the job would run though its caller was told that
 	// it is cancelled.
 	private void cancelIfWanted(String job) {
-		boolean open = this.scheduler.phase(job).map((phase) -> !phase.over()).orElse(false);
+		boolean open = this.scheduler.phase(job).map((phase) -> !phase.isTerminal()).orElse(false);
 		if (open && this.cancelRows.contains(job)) {
 			feed(new WorkflowEvent.CancelRequested(job));
 		}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetOrders.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetOrders.java
@@ -32,13 +32,13 @@
 
 	void start(WorkflowCommand.StartRun start) {
 		order("start", start.target(), start.task(), start.run(),
-				(epoch, heartbeat) -> new Message.RunStart(epoch, heartbeat, start.life(), start.task(), start.run(),
-						start.program(), start.checkpoint(), start.capacity()));
+				(epoch, heartbeat) -> new Message.RunStart(epoch, heartbeat, start.incarnation(), start.task(),
+						start.run(), start.program(), start.checkpoint(), start.capacity()));
 	}
 
 	void stop(WorkflowCommand.StopRun stop) {
 		order("stop", stop.target(), stop.task(), stop.run(),
-				(epoch, heartbeat) -> new Message.RunStop(epoch, stop.life(), stop.task(), stop.run()));
+				(epoch, heartbeat) -> new Message.RunStop(epoch, stop.incarnation(), stop.task(), stop.run()));
 	}
 
 	// Not repeated: a worker lists an end until it hears that it is kept. What is kept
@@ -48,7 +48,8 @@
 			return;
 		}
 		long epoch = this.term.epoch();
-		if (!this.targets.send(ends.target(), (heartbeat) -> new Message.EndsKept(epoch, ends.life(), ends.upTo()))) {
+		if (!this.targets.send(ends.target(),
+				(heartbeat) -> new Message.EndsKept(epoch, ends.incarnation(), ends.upToSequence()))) {
 			this.telemetry.count(UNDELIVERED, UndeliveredReason.TARGET_NOT_CONNECTED);
 		}
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
@@ -32,7 +32,7 @@
 import org.almondmount.workflow.SchedulerFeature;
 import org.almondmount.workflow.Step;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.Workflow;
 
 /**
@@ -54,7 +54,7 @@
 
 	private static final Duration LEASE = Duration.ofSeconds(6);
 
-	private static final WorkerLife LIFE = new WorkerLife("worker", 1);
+	private static final WorkerIncarnation LIFE = new WorkerIncarnation("worker", 1);
 
 	private static final long ANNOUNCE_MILLIS = 1_000;
 
@@ -144,7 +144,7 @@
 
 	private static Workflow job(String id, boolean gang) {
 		Step step = new Step(2, DEMAND, 1_000, List.of(), true, gang, Step.Placement.ANYWHERE, false,
-				Step.ServiceTerms.NONE);
+				Step.ServiceSpec.NONE);
 		return new Workflow(id, "queue", "customer", "program", List.of(step), Workflow.Schedule.ONCE,
 				System.currentTimeMillis());
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
@@ -10,8 +10,8 @@
 import org.almondmount.worker.WorkerCommand;
 import org.almondmount.worker.WorkerEvent;
 import org.almondmount.worker.WorkerEvent.CallEnding;
-import org.almondmount.workflow.RunEnding;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.RunOutcome;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport.Ended;
 import org.almondmount.workflow.WorkerReport.Running;
 
@@ -24,7 +24,7 @@
 
 	private static final int PERCENT_A_LOOK = 30;
 
-	private final WorkerLife life;
+	private final WorkerIncarnation life;
 
 	private final Map<WorkerCommand.Start, Integer> looks = new HashMap<>();
 
@@ -32,19 +32,19 @@
 
 	private long lastEnd;
 
-	MemoryWorker(WorkerLife life) {
+	MemoryWorker(WorkerIncarnation life) {
 		this.life = life;
 	}
 
 	@Override
 	public synchronized CompletableFuture<WorkerEvent> look(WorkerCommand.Look look) {
-		this.ended.removeIf((end) -> end.number() <= look.acknowledged());
+		this.ended.removeIf((end) -> end.sequence() <= look.acknowledged());
 		List<Running> running = new ArrayList<>();
 		for (WorkerCommand.Start start : List.copyOf(this.looks.keySet())) {
 			int seen = this.looks.merge(start, 1, Integer::sum);
 			if (seen > LOOKS) {
 				this.looks.remove(start);
-				this.ended.add(new Ended(++this.lastEnd, start.task(), start.run(), RunEnding.DONE, "saved-" + seen));
+				this.ended.add(new Ended(++this.lastEnd, start.task(), start.run(), RunOutcome.DONE, "saved-" + seen));
 				continue;
 			}
 			running.add(new Running(start.task(), start.run(), "saved-" + seen, seen * PERCENT_A_LOOK));
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -179,8 +179,8 @@
 	private void crashed(WorkerCommand.CountCrash crash) {
 		this.telemetry.count(CRASHED);
 		for (WorkerReport.Crashed run : crash.runs()) {
-			LOG.warn("worker-crashed-under", "task", run.task(), "run", run.run(), "life", run.life(), "ageMillis",
-					run.ageMillis(), "runs", crash.runs().size());
+			LOG.warn("worker-crashed-under", "task", run.task(), "run", run.run(), "life", run.incarnation(),
+					"ageMillis", run.observedRunMillis(), "runs", crash.runs().size());
 		}
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/codec/RecordCodecTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/codec/RecordCodecTests.java
@@ -8,7 +8,7 @@
 import org.almondmount.workflow.JobRecord;
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.Step;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.Workflow;
 import org.junit.jupiter.api.Test;
 
@@ -20,9 +20,9 @@
 	@Test
 	void aJobComesBackAsItWas() {
 		Step plain = new Step(2, new ResourceAmount(52_000, 270_000, 8), 900, List.of(), false, true,
-				new Step.Placement("a", "r1-3", true, 2), false, Step.ServiceTerms.NONE);
+				new Step.Placement("a", "r1-3", true, 2), false, Step.ServiceSpec.NONE);
 		Step service = new Step(1, ResourceAmount.NONE, 0, List.of(0), true, false, Step.Placement.ANYWHERE, true,
-				new Step.ServiceTerms(true, "image", 40, true, 1));
+				new Step.ServiceSpec(true, "image", 40, true, 1));
 		Workflow job = new Workflow("5c0e7a21d94b36f8", "q", "c", "line\n\"quoted\"", List.of(plain, service),
 				new Workflow.Schedule(1_000, 500, 4), 77);
 		assertThat(RecordCodec.readWorkflow(RecordCodec.write(job))).isEqualTo(job);
@@ -30,11 +30,11 @@
 
 	@Test
 	void progressComesBackAsItWas() {
-		JobRecord.OpenRun run = new JobRecord.OpenRun(3, "target-1", new WorkerLife("w", 12), 9);
+		JobRecord.OpenRun run = new JobRecord.OpenRun(3, "target-1", new WorkerIncarnation("w", 12), 9);
 		JobRecord record = new JobRecord("j", JobPhase.RUNNING, List.of(new JobRecord.StepKey(0, 1)),
 				List.of(new JobRecord.TaskRecord(new JobRecord.StepKey(0, 0), 4, 3, 1, false, "c1", List.of(run)),
 						new JobRecord.TaskRecord(new JobRecord.StepKey(0, 0), 0, 3, 1, false, "", List.of(), 2,
-								List.of(new JobRecord.Crash(3, new WorkerLife("w", 7), true, 12, 60)))));
+								List.of(new JobRecord.Crash(3, new WorkerIncarnation("w", 7), true, 12, 60)))));
 		assertThat(RecordCodec.readProgress(RecordCodec.write(record))).isEqualTo(record);
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/entry/IntakeAttemptTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/entry/IntakeAttemptTests.java
@@ -31,7 +31,7 @@
 
 	private static IntakeAttempt attempt(boolean forPeer) {
 		Step step = new Step(1, new ResourceAmount(1_000, 1_000, 1), 1_000, List.of(), false, false,
-				Step.Placement.ANYWHERE, false, Step.ServiceTerms.NONE);
+				Step.Placement.ANYWHERE, false, Step.ServiceSpec.NONE);
 		Workflow job = new Workflow("00000000000000aa", "q", "c", "p", List.of(step), Workflow.Schedule.ONCE, 0);
 		return new IntakeAttempt(job, 0, 3_000, forPeer, new CompletableFuture<>());
 	}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/Checker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/Checker.java
@@ -11,7 +11,7 @@
 import org.almondmount.telemetry.EventLog;
 import org.almondmount.worker.WorkerCommand;
 import org.almondmount.workflow.ResourceAmount;
-import org.almondmount.workflow.RunEnding;
+import org.almondmount.workflow.RunOutcome;
 import org.almondmount.workflow.Step;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerReport;
@@ -251,7 +251,7 @@
 		if (this.doneAcknowledged.contains(task)) {
 			this.broken.add(at() + "twice: " + task + " started after its end was acknowledged");
 		}
-		for (int earlier : step.after()) {
+		for (int earlier : step.dependencies()) {
 			requireDone(job, task, earlier);
 		}
 		this.begun.add(task.job());
@@ -264,23 +264,23 @@
 		if (!now.fitsIn(worker.limit(calledAt))) {
 			this.broken.add(at() + "limit: " + task + " brings " + worker.name() + " over its capacity");
 		}
-		if (step.gang()) {
+		if (step.gangScheduled()) {
 			Map<TaskId, SimWorker> members = this.gangs.computeIfAbsent(gang(task, start.run()),
 					(key) -> new HashMap<>());
 			members.put(task, worker);
-			if (members.size() == step.count()) {
+			if (members.size() == step.taskCount()) {
 				this.wholeSince.put(gang(task, start.run()), this.time.now());
 			}
 		}
 	}
 
-	void ended(SimWorker worker, TaskId task, int run, RunEnding how) {
+	void ended(SimWorker worker, TaskId task, int run, RunOutcome how) {
 		LOG.info("seen-end", "at", this.time.now(), "task", task, "run", run, "worker", worker.name(), "how", how);
 		leave(worker, task, run);
-		if (how == RunEnding.DONE) {
+		if (how == RunOutcome.DONE) {
 			this.doneSeen.add(task);
 		}
-		if (step(task).gang() && how != RunEnding.DONE) {
+		if (step(task).gangScheduled() && how != RunOutcome.DONE) {
 			this.brokenGangs.add(gang(task, run));
 			this.wholeSince.remove(gang(task, run));
 		}
@@ -299,17 +299,17 @@
 			Map.copyOf(entry.getValue()).forEach((run, where) -> {
 				if (where == worker) {
 					this.lostMillis += this.time.now() - this.startedAt.get(entry.getKey() + "/" + run);
-					ended(worker, entry.getKey(), run, RunEnding.LOST);
+					ended(worker, entry.getKey(), run, RunOutcome.LOST);
 				}
 			});
 		}
 	}
 
 	void acknowledged(WorkerReport.Ended end) {
-		if (end.how() == RunEnding.DONE) {
+		if (end.outcome() == RunOutcome.DONE) {
 			this.doneAcknowledged.add(end.task());
 		}
-		if (end.how() == RunEnding.FAILED) {
+		if (end.outcome() == RunOutcome.FAILED) {
 			this.failuresAcknowledged.computeIfAbsent(attempted(end.task()), (task) -> new HashSet<>()).add(end.run());
 		}
 	}
@@ -317,17 +317,17 @@
 	Work work(TaskId task, int run) {
 		Step step = step(task);
 		String gang = gang(task, run);
-		boolean whole = !step.gang() || this.wholeSince.containsKey(gang);
-		long since = step.gang() ? this.wholeSince.getOrDefault(gang, Long.MAX_VALUE)
+		boolean whole = !step.gangScheduled() || this.wholeSince.containsKey(gang);
+		long since = step.gangScheduled() ? this.wholeSince.getOrDefault(gang, Long.MAX_VALUE)
 				: this.startedAt.get(task + "/" + run);
 		boolean over = whole && this.time.now() - since >= this.runTimes.get(task.job());
 		boolean bad = this.failing.contains(task.job());
-		return new Work(step.gang(), whole, this.brokenGangs.contains(gang), over && !bad, over && bad);
+		return new Work(step.gangScheduled(), whole, this.brokenGangs.contains(gang), over && !bad, over && bad);
 	}
 
 	int percent(TaskId task, int run) {
 		Step step = step(task);
-		long since = step.gang() ? this.wholeSince.getOrDefault(gang(task, run), this.time.now())
+		long since = step.gangScheduled() ? this.wholeSince.getOrDefault(gang(task, run), this.time.now())
 				: this.startedAt.getOrDefault(task + "/" + run, this.time.now());
 		return (int) Math.min(99, (this.time.now() - since) * 100 / this.runTimes.get(task.job()));
 	}
@@ -347,7 +347,7 @@
 	}
 
 	private TaskId attempted(TaskId task) {
-		return step(task).gang() ? new TaskId(task.job(), task.occurrence(), task.step(), 0) : task;
+		return step(task).gangScheduled() ? new TaskId(task.job(), task.occurrence(), task.step(), 0) : task;
 	}
 
 	private void requireFewStartsOfCrashing(TaskId task) {
@@ -361,9 +361,9 @@
 
 	private void requireDone(Workflow job, TaskId task, int earlier) {
 		Step before = job.steps().get(earlier);
-		for (int index = 0; index < before.count(); index++) {
+		for (int index = 0; index < before.taskCount(); index++) {
 			TaskId needed = new TaskId(task.job(), task.occurrence(), earlier, index);
-			boolean done = before.gang() ? anyDone(job, needed) : this.doneSeen.contains(needed);
+			boolean done = before.gangScheduled() ? anyDone(job, needed) : this.doneSeen.contains(needed);
 			if (!done) {
 				this.broken.add(at() + "order: " + task + " started before " + needed + " was done");
 				return;
@@ -372,7 +372,7 @@
 	}
 
 	private boolean anyDone(Workflow job, TaskId member) {
-		for (int index = 0; index < job.steps().get(member.step()).count(); index++) {
+		for (int index = 0; index < job.steps().get(member.step()).taskCount(); index++) {
 			if (this.doneSeen.contains(new TaskId(member.job(), member.occurrence(), member.step(), index))) {
 				return true;
 			}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/CrashingTaskTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/CrashingTaskTests.java
@@ -73,7 +73,7 @@
 
 	private static Workflow gang(FleetWorld world, String id) {
 		Step step = new Step(4, new ResourceAmount(4_000, 4_000, 4), 1_000, List.of(), false, true,
-				Step.Placement.ANYWHERE, false, Step.ServiceTerms.NONE);
+				Step.Placement.ANYWHERE, false, Step.ServiceSpec.NONE);
 		return new Workflow(id, "q1", "one", "p", List.of(step), Workflow.Schedule.ONCE, world.time().now());
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/FleetWorld.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/FleetWorld.java
@@ -194,7 +194,7 @@
 	 */
 	Workflow smallJob(String id) {
 		Step step = new Step(1, new ResourceAmount(1_000, 1_000, 1), 1_000, List.of(), false, false,
-				Step.Placement.ANYWHERE, false, Step.ServiceTerms.NONE);
+				Step.Placement.ANYWHERE, false, Step.ServiceSpec.NONE);
 		return new Workflow(id, "q1", "one", "p", List.of(step), Workflow.Schedule.ONCE, this.time.now());
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/PowerBackTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/PowerBackTests.java
@@ -58,7 +58,7 @@
 		}
 		assertThat(world.checker().broken()).isEmpty();
 		for (String job : world.accepted()) {
-			assertThat(world.seen().get(job)).as(job).isNotNull().matches(JobPhase::over);
+			assertThat(world.seen().get(job)).as(job).isNotNull().matches(JobPhase::isTerminal);
 		}
 	}
 
@@ -77,7 +77,7 @@
 		boolean gang = random.nextBoolean();
 		ResourceAmount demand = new ResourceAmount(4_000, 8_000, 1 + random.nextInt(gang ? 4 : 1));
 		Step step = new Step(1 + random.nextInt(8), demand, 5_000, List.of(), !gang, gang, Step.Placement.ANYWHERE,
-				false, Step.ServiceTerms.NONE);
+				false, Step.ServiceSpec.NONE);
 		return new Workflow(String.format("%016x", number + 1), "q" + random.nextInt(3), "one", "program",
 				List.of(step), Workflow.Schedule.ONCE, world.time().now());
 	}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/RandomTroubleTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/RandomTroubleTests.java
@@ -78,7 +78,7 @@
 		askAll(world, jobs);
 		assertThat(world.checker().broken()).isEmpty();
 		for (Workflow job : jobs) {
-			assertThat(world.seen().get(job.id())).as(job.id()).isNotNull().matches(JobPhase::over);
+			assertThat(world.seen().get(job.id())).as(job.id()).isNotNull().matches(JobPhase::isTerminal);
 		}
 	}
 
@@ -150,7 +150,7 @@
 		assertThat(world.checker().broken()).isEmpty();
 		assertThat(world.checker().begunThoughRefused()).isEmpty();
 		for (String job : world.accepted()) {
-			assertThat(world.seen().get(job)).as(job).isNotNull().matches(JobPhase::over);
+			assertThat(world.seen().get(job)).as(job).isNotNull().matches(JobPhase::isTerminal);
 		}
 	}
 
@@ -252,7 +252,7 @@
 					1_000L * (1 + random.nextInt(40)), 1 + random.nextInt(4));
 			Step.Placement placement = new Step.Placement("", "", gang && random.nextBoolean(), 0);
 			steps.add(new Step(1 + random.nextInt(4), demand, 1_000, (number > 0) ? List.of(number - 1) : List.of(),
-					random.nextBoolean(), gang, placement, false, Step.ServiceTerms.NONE));
+					random.nextBoolean(), gang, placement, false, Step.ServiceSpec.NONE));
 		}
 		return new Workflow(id, "q" + queue, random.nextBoolean() ? "one" : "two", "program of " + id, steps,
 				Workflow.Schedule.ONCE, world.time().now());
--- a/fleet/src/test/java/org/almondmount/fleet/sim/RollingRestartTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/RollingRestartTests.java
@@ -248,7 +248,7 @@
 			return this.world.accepted()
 				.stream()
 				.map(this.world.seen()::get)
-				.allMatch((phase) -> phase != null && phase.over());
+				.allMatch((phase) -> phase != null && phase.isTerminal());
 		}
 
 		void requirePromisesOnceQuiet() {
@@ -261,7 +261,7 @@
 			assertThat(this.world.checker().broken()).isEmpty();
 			assertThat(this.world.checker().begunThoughRefused()).isEmpty();
 			for (String job : this.world.accepted()) {
-				assertThat(this.world.seen().get(job)).as(job).isNotNull().matches(JobPhase::over);
+				assertThat(this.world.seen().get(job)).as(job).isNotNull().matches(JobPhase::isTerminal);
 			}
 		}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -15,10 +15,10 @@
 import org.almondmount.worker.WorkerEvent;
 import org.almondmount.worker.WorkerEvent.CallEnding;
 import org.almondmount.workflow.ResourceAmount;
-import org.almondmount.workflow.RunEnding;
+import org.almondmount.workflow.RunOutcome;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -103,8 +103,8 @@
 		tick();
 	}
 
-	WorkerLife life() {
-		return new WorkerLife(this.name, this.born);
+	WorkerIncarnation life() {
+		return new WorkerIncarnation(this.name, this.born);
 	}
 
 	String name() {
@@ -124,7 +124,7 @@
 		this.shrunk.headMap(this.time.now() - LATEST_MILLIS).clear();
 		ResourceAmount limit = this.capacity;
 		for (ResourceAmount former : this.shrunk.tailMap(calledAt).values()) {
-			limit = limit.atLeast(former);
+			limit = limit.max(former);
 		}
 		return limit;
 	}
@@ -134,7 +134,7 @@
 	 * @param next its room from now on
 	 */
 	void resize(ResourceAmount next) {
-		this.shrunk.merge(this.time.now() + SHRUNK_COUNTS_MILLIS, this.capacity, ResourceAmount::atLeast);
+		this.shrunk.merge(this.time.now() + SHRUNK_COUNTS_MILLIS, this.capacity, ResourceAmount::max);
 		this.capacity = next;
 	}
 
@@ -273,7 +273,7 @@
 		}
 		this.fence = Math.max(this.fence, stop.epoch());
 		this.highestEnded.merge(stop.task(), stop.run(), Math::max);
-		this.time.after(STOP_MILLIS, () -> finish(stop.task() + "/" + stop.run(), RunEnding.STOPPED));
+		this.time.after(STOP_MILLIS, () -> finish(stop.task() + "/" + stop.run(), RunOutcome.STOPPED));
 		return true;
 	}
 
@@ -306,7 +306,7 @@
 	// An end after which the lease ran out does not count: whoever ordered the run had
 	// given it up by then and may have started the task again.
 	private void acknowledged(WorkerReport.Ended end) {
-		if (this.endedAt.getOrDefault(end.number(), 0L) > this.lapsedAt) {
+		if (this.endedAt.getOrDefault(end.sequence(), 0L) > this.lapsedAt) {
 			this.checker.acknowledged(end);
 		}
 	}
@@ -314,7 +314,7 @@
 	private void tick() {
 		if (this.time.now() >= this.leaseUntil) {
 			this.lapsedAt = this.time.now();
-			List.copyOf(this.running.keySet()).forEach((key) -> finish(key, RunEnding.LAPSED));
+			List.copyOf(this.running.keySet()).forEach((key) -> finish(key, RunOutcome.LAPSED));
 		}
 		for (Map.Entry<String, Active> entry : List.copyOf(this.running.entrySet())) {
 			if (!this.running.containsKey(entry.getKey())) {
@@ -329,30 +329,30 @@
 		Checker.Work work = this.checker.work(run.task, run.run);
 		if (work.gang() && !work.whole()) {
 			if (work.broken()) {
-				finish(key, RunEnding.BROKEN);
+				finish(key, RunOutcome.BROKEN);
 			}
 			else if (this.time.now() - run.since >= GANG_MILLIS) {
-				finish(key, RunEnding.ALONE);
+				finish(key, RunOutcome.ALONE);
 			}
 			return;
 		}
 		if (work.fails()) {
-			finish(key, RunEnding.FAILED);
+			finish(key, RunOutcome.FAILED);
 		}
 		else if (work.finished()) {
-			finish(key, RunEnding.DONE);
+			finish(key, RunOutcome.DONE);
 		}
 	}
 
-	private void finish(String key, RunEnding how) {
+	private void finish(String key, RunOutcome how) {
 		Active run = this.running.remove(key);
 		if (run == null) {
 			return;
 		}
 		this.highestEnded.merge(run.task, run.run, Math::max);
 		WorkerReport.Ended end = new WorkerReport.Ended(++this.endNumber, run.task, run.run, how, "");
-		this.ended.put(end.number(), end);
-		this.endedAt.put(end.number(), this.time.now());
+		this.ended.put(end.sequence(), end);
+		this.endedAt.put(end.sequence(), this.time.now());
 		this.checker.ended(this, run.task, run.run, how);
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SoundJobsBesideCrashesTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SoundJobsBesideCrashesTests.java
@@ -95,7 +95,7 @@
 				assertThat(phase).as(job.id()).isEqualTo(JobPhase.FAILED);
 				continue;
 			}
-			assertThat(phase).as(job.id()).matches(JobPhase::over);
+			assertThat(phase).as(job.id()).matches(JobPhase::isTerminal);
 			if (phase == JobPhase.FAILED) {
 				givenUp++;
 				LOG.info("sound-job-given-up", "job", job.id());
@@ -145,7 +145,7 @@
 		boolean gang = random.nextInt(3) == 0;
 		ResourceAmount demand = new ResourceAmount(4_000, 4_000, 1 + random.nextInt(2));
 		Step step = new Step(1 + random.nextInt(4), demand, 6_000, List.of(), false, gang, Step.Placement.ANYWHERE,
-				false, Step.ServiceTerms.NONE);
+				false, Step.ServiceSpec.NONE);
 		return new Workflow(String.format("%016x", random.nextLong()), "q" + random.nextInt(3), "one", "program",
 				List.of(step), Workflow.Schedule.ONCE, world.time().now());
 	}
--- a/runtime/src/main/java/org/almondmount/wire/Message.java
+++ b/runtime/src/main/java/org/almondmount/wire/Message.java
@@ -14,7 +14,7 @@
 import org.almondmount.model.Resources;
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.TaskId;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -202,16 +202,16 @@
 	 * @param checkpoint where to go on, or empty
 	 * @param capacity the worker's capacity by which it was chosen
 	 */
-	record RunStart(long epoch, long heartbeat, WorkerLife life, TaskId task, int run, String program,
+	record RunStart(long epoch, long heartbeat, WorkerIncarnation life, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements Message {
 	}
 
 	/** Holder of the term to target: end a run, or make sure that it never begins. */
-	record RunStop(long epoch, WorkerLife life, TaskId task, int run) implements Message {
+	record RunStop(long epoch, WorkerIncarnation life, TaskId task, int run) implements Message {
 	}
 
 	/** Holder of the term to target: ends up to that number are kept. */
-	record EndsKept(long epoch, WorkerLife life, long upTo) implements Message {
+	record EndsKept(long epoch, WorkerIncarnation life, long upTo) implements Message {
 	}
 
 	/** A kind that this version does not know; counted and otherwise ignored. */
--- a/runtime/src/main/java/org/almondmount/wire/impl/WorkflowCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/WorkflowCodec.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 import org.almondmount.workflow.ResourceAmount;
-import org.almondmount.workflow.RunEnding;
+import org.almondmount.workflow.RunOutcome;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -19,13 +19,13 @@
 	private WorkflowCodec() {
 	}
 
-	static void writeLife(FrameWriter out, WorkerLife life) {
-		out.array(2).text(life.worker()).number(life.bornMillis());
+	static void writeLife(FrameWriter out, WorkerIncarnation life) {
+		out.array(2).text(life.worker()).number(life.startedAtMillis());
 	}
 
-	static WorkerLife readLife(FrameReader in) {
+	static WorkerIncarnation readLife(FrameReader in) {
 		in.enter();
-		WorkerLife life = new WorkerLife(in.text(), in.number());
+		WorkerIncarnation life = new WorkerIncarnation(in.text(), in.number());
 		in.leave();
 		return life;
 	}
@@ -50,7 +50,7 @@
 
 	private static void writeDescription(FrameWriter out, WorkerDescription worker) {
 		out.array(7);
-		writeLife(out, worker.life());
+		writeLife(out, worker.incarnation());
 		out.text(worker.pool()).text(worker.zone());
 		out.list(worker.labels(), FrameWriter::text);
 		writeAmount(out, worker.capacity());
@@ -77,7 +77,7 @@
 	}
 
 	private static void writeRunning(FrameWriter out, WorkerReport.Running run) {
-		out.array(4).text(run.task().toString()).number(run.run()).text(run.checkpoint()).number(run.percent());
+		out.array(4).text(run.task().toString()).number(run.run()).text(run.checkpoint()).number(run.progressPercent());
 	}
 
 	private static WorkerReport.Running readRunning(FrameReader in) {
@@ -90,8 +90,8 @@
 
 	private static void writeCrashed(FrameWriter out, WorkerReport.Crashed run) {
 		out.array(4);
-		writeLife(out, run.life());
-		out.text(run.task().toString()).number(run.run()).number(run.ageMillis());
+		writeLife(out, run.incarnation());
+		out.text(run.task().toString()).number(run.run()).number(run.observedRunMillis());
 	}
 
 	private static WorkerReport.Crashed readCrashed(FrameReader in) {
@@ -103,14 +103,14 @@
 	}
 
 	private static void writeEnded(FrameWriter out, WorkerReport.Ended end) {
-		out.array(5).number(end.number()).text(end.task().toString()).number(end.run());
-		out.constant(end.how()).text(end.checkpoint());
+		out.array(5).number(end.sequence()).text(end.task().toString()).number(end.run());
+		out.constant(end.outcome()).text(end.checkpoint());
 	}
 
 	private static WorkerReport.Ended readEnded(FrameReader in) {
 		in.enter();
 		WorkerReport.Ended end = new WorkerReport.Ended(in.number(), TaskId.parse(in.text()), in.smallNumber(),
-				in.constant(RunEnding.class), in.text());
+				in.constant(RunOutcome.class), in.text());
 		in.leave();
 		return end;
 	}
--- a/runtime/src/test/java/org/almondmount/wire/impl/Samples.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/Samples.java
@@ -29,10 +29,10 @@
 import org.almondmount.wire.Message;
 import org.almondmount.wire.PeerInfo;
 import org.almondmount.workflow.ResourceAmount;
-import org.almondmount.workflow.RunEnding;
+import org.almondmount.workflow.RunOutcome;
 import org.almondmount.workflow.TaskId;
 import org.almondmount.workflow.WorkerDescription;
-import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerIncarnation;
 import org.almondmount.workflow.WorkerReport;
 
 /**
@@ -53,7 +53,7 @@
 		.withOption("backfill", "on")
 		.withRevision(7);
 
-	static final WorkerLife LIFE = new WorkerLife("worker-1", 1_700_000_000_000L);
+	static final WorkerIncarnation LIFE = new WorkerIncarnation("worker-1", 1_700_000_000_000L);
 
 	static final TaskId TASK = new TaskId("5c0e7a21d94b36f8", 0, 1, 17);
 
@@ -61,7 +61,7 @@
 			new WorkerDescription(LIFE, "pool", "lulea-a", Set.of("a", "r1-3"), new ResourceAmount(128_000, 524_288, 8),
 					true, 4_500),
 			9, List.of(new WorkerReport.Running(TASK, 2, "c1", 41)),
-			List.of(new WorkerReport.Ended(58, TASK, 1, RunEnding.FAILED, "")),
+			List.of(new WorkerReport.Ended(58, TASK, 1, RunOutcome.FAILED, "")),
 			List.of(new WorkerReport.Crashed(LIFE, TASK, 1, 250)));
 
 	static final List<Message> ALL = List.of(
