--- a/core/src/main/java/org/almondmount/jobs/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Admission.java
@@ -60,16 +60,16 @@
 	 * @return the result
 	 */
 	private Optional<String> neverFits(GangShape shape) {
-		Capacities capacities = this.fleet.capacities();
+		FleetCapacity capacities = this.fleet.capacities();
 		if (capacities.isEmpty()) {
 			return Optional.empty();
 		}
 		Resources need = (shape.adjacency() == Adjacency.WORKER) ? shape.total() : shape.perMember();
-		Optional<String> dimension = capacities.dimensionOverLargest(need);
+		Optional<String> dimension = capacities.explainExceededDimension(need);
 		if (dimension.isPresent()) {
 			return dimension;
 		}
-		int most = capacities.mostMembers(shape);
+		int most = capacities.maxMembers(shape);
 		if (most >= shape.members()) {
 			return Optional.empty();
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/Room.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/CapacityView.java
@@ -3,24 +3,24 @@
 /**
  * Which part of a worker counts as room for a placement.
  */
-enum Room {
+enum CapacityView {
 
 	/** What nobody has. */
 	FREE {
 
 		@Override
 		int accelerators(WorkerNode worker) {
-			return (int) (worker.capacity().accelerators() - worker.used.accelerators);
+			return (int) (worker.capacity().accelerators() - worker.allocated.accelerators);
 		}
 
 		@Override
 		int cores(WorkerNode worker) {
-			return (int) (worker.capacity().cores() - worker.used.cores);
+			return (int) (worker.capacity().cores() - worker.allocated.cores);
 		}
 
 		@Override
 		int memoryMb(WorkerNode worker) {
-			return (int) (worker.capacity().memoryMb() - worker.used.memoryMb);
+			return (int) (worker.capacity().memoryMb() - worker.allocated.memoryMb);
 		}
 
 	},
@@ -28,21 +28,21 @@
 	/**
 	 * What nobody has and no owner is about to reclaim: for work that can be preempted.
 	 */
-	OPEN {
+	BORROWABLE {
 
 		@Override
 		int accelerators(WorkerNode worker) {
-			return (int) (FREE.accelerators(worker) - worker.held.accelerators);
+			return (int) (FREE.accelerators(worker) - worker.heldReserve.accelerators);
 		}
 
 		@Override
 		int cores(WorkerNode worker) {
-			return (int) (FREE.cores(worker) - worker.held.cores);
+			return (int) (FREE.cores(worker) - worker.heldReserve.cores);
 		}
 
 		@Override
 		int memoryMb(WorkerNode worker) {
-			return (int) (FREE.memoryMb(worker) - worker.held.memoryMb);
+			return (int) (FREE.memoryMb(worker) - worker.heldReserve.memoryMb);
 		}
 
 	},
@@ -52,17 +52,19 @@
 
 		@Override
 		int accelerators(WorkerNode worker) {
-			return (int) (worker.capacity().accelerators() - worker.firm.accelerators - worker.reserved.accelerators);
+			return (int) (worker.capacity().accelerators() - worker.protectedAllocation.accelerators
+					- worker.guaranteeReserve.accelerators);
 		}
 
 		@Override
 		int cores(WorkerNode worker) {
-			return (int) (worker.capacity().cores() - worker.firm.cores - worker.reserved.cores);
+			return (int) (worker.capacity().cores() - worker.protectedAllocation.cores - worker.guaranteeReserve.cores);
 		}
 
 		@Override
 		int memoryMb(WorkerNode worker) {
-			return (int) (worker.capacity().memoryMb() - worker.firm.memoryMb - worker.reserved.memoryMb);
+			return (int) (worker.capacity().memoryMb() - worker.protectedAllocation.memoryMb
+					- worker.guaranteeReserve.memoryMb);
 		}
 
 	},
@@ -72,17 +74,19 @@
 
 		@Override
 		int accelerators(WorkerNode worker) {
-			return (int) (worker.capacity().accelerators() - worker.firm.accelerators - worker.held.accelerators);
+			return (int) (worker.capacity().accelerators() - worker.protectedAllocation.accelerators
+					- worker.heldReserve.accelerators);
 		}
 
 		@Override
 		int cores(WorkerNode worker) {
-			return (int) (worker.capacity().cores() - worker.firm.cores - worker.held.cores);
+			return (int) (worker.capacity().cores() - worker.protectedAllocation.cores - worker.heldReserve.cores);
 		}
 
 		@Override
 		int memoryMb(WorkerNode worker) {
-			return (int) (worker.capacity().memoryMb() - worker.firm.memoryMb - worker.held.memoryMb);
+			return (int) (worker.capacity().memoryMb() - worker.protectedAllocation.memoryMb
+					- worker.heldReserve.memoryMb);
 		}
 
 	},
@@ -92,23 +96,25 @@
 
 		@Override
 		int accelerators(WorkerNode worker) {
-			return (int) (worker.capacity().accelerators() - worker.pinned.accelerators - worker.held.accelerators);
+			return (int) (worker.capacity().accelerators() - worker.pinnedAllocation.accelerators
+					- worker.heldReserve.accelerators);
 		}
 
 		@Override
 		int cores(WorkerNode worker) {
-			return (int) (worker.capacity().cores() - worker.pinned.cores - worker.held.cores);
+			return (int) (worker.capacity().cores() - worker.pinnedAllocation.cores - worker.heldReserve.cores);
 		}
 
 		@Override
 		int memoryMb(WorkerNode worker) {
-			return (int) (worker.capacity().memoryMb() - worker.pinned.memoryMb - worker.held.memoryMb);
+			return (int) (worker.capacity().memoryMb() - worker.pinnedAllocation.memoryMb
+					- worker.heldReserve.memoryMb);
 		}
 
 	},
 
 	/** What nobody has and no guarantee needs: for work that stays. */
-	FIRM {
+	UNRESERVED {
 
 		@Override
 		int accelerators(WorkerNode worker) {
--- a/core/src/main/java/org/almondmount/jobs/impl/CustomerQueue.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/CustomerQueue.java
@@ -17,7 +17,7 @@
 	final Map<ShapeQueue.Key, ShapeQueue> shapes = new LinkedHashMap<>();
 
 	/** What its members have or are promised, borrowed room included. */
-	final Amount used = new Amount();
+	final ResourceSum used = new ResourceSum();
 
 	double weight = 1;
 
--- a/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
@@ -41,7 +41,7 @@
 
 	private final JobBook book;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
 	private final GangRunner runner;
 
@@ -68,17 +68,17 @@
 	public DefaultJobScheduler(JobPolicy policy) {
 		this.desk = new Desk(policy);
 		this.book = new JobBook(this.desk, this.waiting);
-		Placer placer = new Placer(this.fleet, policy.has(JobFeature.PACKING));
-		this.ledger = new GuaranteeLedger(this.desk, this.fleet, placer);
+		GangPlacer placer = new GangPlacer(this.fleet, policy.has(JobFeature.PACKING));
+		this.ledger = new GuaranteeAllocator(this.desk, this.fleet, placer);
 		RunTimes runTimes = new RunTimes(policy.has(JobFeature.LEARNED_RUN_TIMES));
 		Health health = new Health(this.desk, this.fleet, this.ledger);
 		this.runner = new GangRunner(this.desk, this.fleet, this.book, this.waiting, this.ledger, health, runTimes);
 		this.admission = new Admission(this.desk, this.fleet, this.waiting);
 		this.zones = new ZoneDrain(this.desk, this.fleet, this.runner, this.ledger);
 		this.recovery = new Recovery(this.desk, this.fleet, this.book, this.runner, this.ledger);
-		Reservations reservations = new Reservations(this.desk, this.fleet, runTimes);
+		WaitingJobReservations reservations = new WaitingJobReservations(this.desk, this.fleet, runTimes);
 		Evictor evictor = new Evictor(this.desk, this.fleet);
-		GuaranteedStart guaranteed = new GuaranteedStart(this.desk, this.fleet, placer, this.ledger, evictor,
+		GuaranteedJobStarter guaranteed = new GuaranteedJobStarter(this.desk, this.fleet, placer, this.ledger, evictor,
 				this.runner);
 		this.dispatcher = new Dispatcher(this.desk, this.fleet, this.waiting, this.runner, placer, this.ledger,
 				guaranteed, reservations);
@@ -139,7 +139,7 @@
 		List<WorkerView> views = new ArrayList<>();
 		for (WorkerNode worker : this.fleet.workers()) {
 			if (worker.present) {
-				views.add(new WorkerView(worker.info, worker.free(), worker.stateWord(), worker.members.size()));
+				views.add(new WorkerView(worker.info, worker.free(), worker.stateName(), worker.members.size()));
 			}
 		}
 		return views;
@@ -151,7 +151,7 @@
 		return (job != null) ? List.copyOf(this.explainer.explain(job)) : List.of();
 	}
 
-	GuaranteeLedger ledger() {
+	GuaranteeAllocator ledger() {
 		return this.ledger;
 	}
 
@@ -213,9 +213,9 @@
 
 	private void joined(WorkerInfo info) {
 		WorkerNode worker = this.fleet.join(info);
-		this.ledger.workerOpened(worker);
+		this.ledger.onWorkerAvailable(worker);
 		this.recovery.joined(worker);
-		this.ledger.recheck(worker);
+		this.ledger.unplaceExcess(worker);
 	}
 
 	private void leaving(WorkerId id) {
@@ -223,7 +223,7 @@
 		if (worker == null || !worker.present) {
 			return;
 		}
-		this.fleet.leaving(worker);
+		this.fleet.markLeaving(worker);
 		this.zones.drainWorker(worker);
 	}
 
@@ -232,8 +232,8 @@
 		if (worker == null || !worker.present) {
 			return;
 		}
-		this.fleet.lost(worker);
-		this.ledger.workerClosed(worker);
+		this.fleet.markLost(worker);
+		this.ledger.onWorkerUnavailable(worker);
 		for (Member member : new ArrayList<>(worker.members)) {
 			if (member.booked) {
 				this.runner.lost(member);
--- a/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
@@ -39,16 +39,16 @@
 
 	private final GangRunner runner;
 
-	private final Placer placer;
+	private final GangPlacer placer;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
-	private final GuaranteedStart guaranteed;
+	private final GuaranteedJobStarter guaranteed;
 
-	private final Reservations reservations;
+	private final WaitingJobReservations reservations;
 
-	Dispatcher(Desk desk, Fleet fleet, WaitingJobs waiting, GangRunner runner, Placer placer, GuaranteeLedger ledger,
-			GuaranteedStart guaranteed, Reservations reservations) {
+	Dispatcher(Desk desk, Fleet fleet, WaitingJobs waiting, GangRunner runner, GangPlacer placer,
+			GuaranteeAllocator ledger, GuaranteedJobStarter guaranteed, WaitingJobReservations reservations) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.waiting = waiting;
@@ -79,13 +79,13 @@
 	 * @return whether it was started
 	 */
 	boolean start(JobState job) {
-		boolean wholeSpot = this.guaranteed.isWholeSpot(job);
+		boolean wholeSpot = this.guaranteed.fillsVacantReservation(job);
 		if (wholeSpot && this.guaranteed.start(job, !isHurried(job))) {
 			return true;
 		}
 		List<WorkerNode> places = findPlaces(job);
 		if (places == null) {
-			return (wholeSpot || this.guaranteed.isEntitled(job)) && this.guaranteed.start(job, true);
+			return (wholeSpot || this.guaranteed.mayReclaimImmediately(job)) && this.guaranteed.start(job, true);
 		}
 		this.runner.launch(job, places, null);
 		this.reservations.drop(job);
@@ -110,14 +110,14 @@
 	}
 
 	private void openWhatMayFit() {
-		for (CustomerId customer : this.ledger.takeChanged()) {
+		for (CustomerId customer : this.ledger.takeChangedCustomers()) {
 			this.waiting.open(customer);
 		}
-		List<WorkerNode> grown = this.fleet.takeGrown();
+		List<WorkerNode> grown = this.fleet.takeChangedWorkers();
 		if (grown.isEmpty()) {
 			return;
 		}
-		this.ledger.layOut();
+		this.ledger.placeOrRebuild();
 		if (grown.size() > FEW_WORKERS) {
 			this.waiting.openAll();
 		}
@@ -169,22 +169,22 @@
 
 	private List<WorkerNode> findPlaces(JobState job) {
 		Predicate<WorkerNode> allowed = allowed(job);
-		Reservation own = this.reservations.of(job);
+		WaitingJobReservation own = this.reservations.get(job);
 		if (own != null) {
-			Room room = job.isPreemptible() ? Room.OPEN : Room.FIRM;
-			List<WorkerNode> places = this.placer.find(job.spec.shape(), room, own.workers()::contains);
+			CapacityView room = job.isPreemptible() ? CapacityView.BORROWABLE : CapacityView.UNRESERVED;
+			List<WorkerNode> places = this.placer.findWorkers(job.spec.shape(), room, own.workers()::contains);
 			if (places != null) {
 				return places;
 			}
 		}
 		boolean keepSpots = this.desk.policy.has(JobFeature.SPOT_KEEPING);
 		if (keepSpots || !job.isPreemptible()) {
-			List<WorkerNode> places = this.placer.find(job.spec.shape(), Room.FIRM, allowed);
+			List<WorkerNode> places = this.placer.findWorkers(job.spec.shape(), CapacityView.UNRESERVED, allowed);
 			if (places != null || !job.isPreemptible()) {
 				return places;
 			}
 		}
-		return this.placer.find(job.spec.shape(), Room.OPEN, allowed);
+		return this.placer.findWorkers(job.spec.shape(), CapacityView.BORROWABLE, allowed);
 	}
 
 	private Predicate<WorkerNode> allowed(JobState job) {
@@ -195,8 +195,8 @@
 		Resources need = job.spec.shape().perMember();
 		boolean spare = need.accelerators() == 0 && this.desk.now - job.since < SPARE_CORES_MILLIS;
 		return (worker) -> (!spare || leavesCores(worker, need)) && (alone || !worker.probation)
-				&& (!avoid || !job.avoids(worker.info.id())) && (!firm || this.ledger.allowsFirm(worker))
-				&& this.reservations.allows(job, worker, backfill);
+				&& (!avoid || !job.avoids(worker.info.id())) && (!firm || this.ledger.allowsProtectedWork(worker))
+				&& this.reservations.mayUse(job, worker, backfill);
 	}
 
 	/**
@@ -213,7 +213,7 @@
 			return true;
 		}
 		double each = CORES_KEPT * worker.capacity().cores() / accelerators;
-		return Room.FREE.cores(worker) - need.cores() >= each * Room.FREE.accelerators(worker);
+		return CapacityView.FREE.cores(worker) - need.cores() >= each * CapacityView.FREE.accelerators(worker);
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/jobs/impl/SpanOption.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/DurationOption.java
@@ -9,11 +9,11 @@
  * Reads a span of time from an option of the configuration, such as {@code 500ms},
  * {@code 30s} or {@code 2m}.
  */
-final class SpanOption {
+final class DurationOption {
 
-	private static final Pattern SPAN = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
+	private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
-	private SpanOption() {
+	private DurationOption() {
 	}
 
 	/**
@@ -22,18 +22,18 @@
 	 * @return the span, empty if there is none or it can't be read
 	 */
 	static Optional<Duration> parse(String text) {
-		Matcher matcher = SPAN.matcher((text != null) ? text.trim() : "");
+		Matcher matcher = DURATION.matcher((text != null) ? text.trim() : "");
 		if (!matcher.matches()) {
 			return Optional.empty();
 		}
-		long count = Long.parseLong(matcher.group(1));
-		Duration span = switch (matcher.group(2)) {
-			case "ms" -> Duration.ofMillis(count);
-			case "s" -> Duration.ofSeconds(count);
-			case "m" -> Duration.ofMinutes(count);
-			default -> Duration.ofHours(count);
+		long amount = Long.parseLong(matcher.group(1));
+		Duration duration = switch (matcher.group(2)) {
+			case "ms" -> Duration.ofMillis(amount);
+			case "s" -> Duration.ofSeconds(amount);
+			case "m" -> Duration.ofMinutes(amount);
+			default -> Duration.ofHours(amount);
 		};
-		return Optional.of(span);
+		return Optional.of(duration);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
@@ -51,13 +51,13 @@
 	/**
 	 * The place whose clearing loses the least.
 	 * @param shape the gang
-	 * @param room {@link Room#RECLAIMABLE} for work that stays, {@link Room#EVICTABLE}
-	 * for work that borrows
+	 * @param room {@link CapacityView#RECLAIMABLE} for work that stays,
+	 * {@link CapacityView#EVICTABLE} for work that borrows
 	 * @param allowed whether an attempt may be made to leave
 	 * @param usable whether a worker may be used
 	 * @return the place and who has to leave, null if there is none
 	 */
-	Eviction cheapest(GangShape shape, Room room, Predicate<Gang> allowed, Predicate<WorkerNode> usable) {
+	Eviction cheapest(GangShape shape, CapacityView room, Predicate<Gang> allowed, Predicate<WorkerNode> usable) {
 		Eviction best = null;
 		for (List<WorkerNode> places : candidates(shape, room, usable)) {
 			best = cheaper(best, victims(shape, places, allowed));
@@ -130,9 +130,9 @@
 	}
 
 	private boolean clear(WorkerNode worker, Resources need, Predicate<Gang> allowed, Set<Gang> victims) {
-		Amount room = new Amount();
+		ResourceSum room = new ResourceSum();
 		room.add(worker.capacity(), 1);
-		room.subtract(worker.used);
+		room.subtract(worker.allocated);
 		room.add(need, -1);
 		List<Gang> candidates = new ArrayList<>();
 		for (Member member : worker.members) {
@@ -148,7 +148,7 @@
 		}
 		candidates.sort(Comparator.comparing(this::movedLately).thenComparingDouble(this::loss));
 		for (Gang gang : candidates) {
-			if (room.isCovered()) {
+			if (room.isNonNegative()) {
 				return true;
 			}
 			victims.add(gang);
@@ -158,29 +158,29 @@
 				}
 			}
 		}
-		return room.isCovered();
+		return room.isNonNegative();
 	}
 
-	private List<List<WorkerNode>> candidates(GangShape shape, Room room, Predicate<WorkerNode> usable) {
+	private List<List<WorkerNode>> candidates(GangShape shape, CapacityView room, Predicate<WorkerNode> usable) {
 		List<List<WorkerNode>> found = new ArrayList<>();
-		SlotIndex free = this.fleet.slots(Room.FREE, shape.perMember());
-		SlotIndex possible = this.fleet.slots(room, shape.perMember());
+		SlotIndex free = this.fleet.slotIndex(CapacityView.FREE, shape.perMember());
+		SlotIndex possible = this.fleet.slotIndex(room, shape.perMember());
 		if (shape.adjacency() == Adjacency.ZONE) {
 			ZoneNode zone = freest(shape, free, possible);
 			if (zone != null) {
-				List<RackNode> racks = enough(shape, possible, free.racks(zone), zone.racks);
+				List<RackNode> racks = enough(shape, possible, free.rackKeys(zone), zone.racks);
 				add(found, fill(shape, room, usable, workers(racks)));
 			}
 			return found;
 		}
 		if (shape.adjacency() == Adjacency.ANY && shape.members() > 1) {
-			List<RackNode> racks = enough(shape, possible, free.racks(), this.fleet.racks());
+			List<RackNode> racks = enough(shape, possible, free.rackKeys(), this.fleet.racks());
 			add(found, fill(shape, room, usable, workers(racks)));
 			return found;
 		}
 		boolean oneWorker = shape.adjacency() == Adjacency.WORKER || shape.members() == 1;
-		SlotIndex ranked = oneWorker ? this.fleet.slots(Room.FREE, ONE_ACCELERATOR) : free;
-		for (RackNode rack : mostFree(ranked.racks(), this.fleet.racks(), CANDIDATES)) {
+		SlotIndex ranked = oneWorker ? this.fleet.slotIndex(CapacityView.FREE, ONE_ACCELERATOR) : free;
+		for (RackNode rack : mostFree(ranked.rackKeys(), this.fleet.racks(), CANDIDATES)) {
 			if (!oneWorker) {
 				add(found, fill(shape, room, usable, rack.workers));
 				continue;
@@ -206,7 +206,7 @@
 			if (racks.size() >= limit) {
 				return new ArrayList<>(racks);
 			}
-			racks.add(this.fleet.rack(SlotIndex.rackOrder(key)));
+			racks.add(this.fleet.rack(SlotIndex.rackOrdinal(key)));
 		}
 		int start = all.isEmpty() ? 0 : (int) (this.desk.now % all.size());
 		for (int i = 0; i < all.size() && racks.size() < limit; i++) {
@@ -264,10 +264,11 @@
 	 * @param workers the workers
 	 * @return the result
 	 */
-	private List<WorkerNode> fill(GangShape shape, Room room, Predicate<WorkerNode> usable, List<WorkerNode> workers) {
+	private List<WorkerNode> fill(GangShape shape, CapacityView room, Predicate<WorkerNode> usable,
+			List<WorkerNode> workers) {
 		Map<WorkerNode, Integer> taken = new LinkedHashMap<>();
 		int missing = shape.members();
-		for (Room step : List.of(Room.FREE, room)) {
+		for (CapacityView step : List.of(CapacityView.FREE, room)) {
 			for (WorkerNode worker : workers) {
 				if (missing == 0) {
 					break;
--- a/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
@@ -18,11 +18,11 @@
 
 	private final Fleet fleet;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
-	private final Reservations reservations;
+	private final WaitingJobReservations reservations;
 
-	Explainer(Desk desk, Fleet fleet, GuaranteeLedger ledger, Reservations reservations) {
+	Explainer(Desk desk, Fleet fleet, GuaranteeAllocator ledger, WaitingJobReservations reservations) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.ledger = ledger;
@@ -48,10 +48,10 @@
 		lines.add(position(job));
 		lines.add(room(job.spec.shape()));
 		guarantee(job, lines);
-		Reservation reservation = this.reservations.of(job);
+		WaitingJobReservation reservation = this.reservations.get(job);
 		if (reservation != null) {
 			lines.add("Room on " + reservation.workers().size() + " workers is kept for it, expected to be free in "
-					+ Math.max(0, (reservation.readyAt() - this.desk.now) / 1000) + " s.");
+					+ Math.max(0, (reservation.readyAtMillis() - this.desk.now) / 1000) + " s.");
 		}
 		return lines;
 	}
@@ -93,18 +93,18 @@
 
 	private String room(GangShape shape) {
 		boolean oneWorker = shape.adjacency() == Adjacency.WORKER;
-		SlotIndex free = this.fleet.slots(Room.FREE, oneWorker ? shape.total() : shape.perMember());
-		String need = "It needs " + EmptyLayout.describe(shape) + "; ";
+		SlotIndex free = this.fleet.slotIndex(CapacityView.FREE, oneWorker ? shape.total() : shape.perMember());
+		String need = "It needs " + GuaranteeFeasibilityCheck.describeShape(shape) + "; ";
 		if (oneWorker) {
 			return need + ((free.total() > 0) ? "a worker has that free." : "no worker has that free.");
 		}
 		if (shape.adjacency() != Adjacency.RACK) {
 			return need + "there is room for " + free.total() + " members in the whole fleet.";
 		}
-		if (free.racks().isEmpty()) {
+		if (free.rackKeys().isEmpty()) {
 			return need + "no rack has room for a single one.";
 		}
-		RackNode rack = this.fleet.rack(SlotIndex.rackOrder(free.racks().last()));
+		RackNode rack = this.fleet.rack(SlotIndex.rackOrdinal(free.rackKeys().last()));
 		return need + "the rack with the most room, " + rack.id + " in zone " + rack.zone.id + ", has room for "
 				+ free.slots(rack) + '.';
 	}
@@ -112,8 +112,8 @@
 	private void guarantee(JobState job, List<String> lines) {
 		int vacant = 0;
 		int missing = 0;
-		List<Spot> spots = this.ledger.spots(job.spec.customer());
-		for (Spot spot : spots) {
+		List<GuaranteeReservation> spots = this.ledger.reservations(job.spec.customer());
+		for (GuaranteeReservation spot : spots) {
 			vacant += (spot.isPlaced() && spot.isVacant()) ? 1 : 0;
 			missing += spot.isPlaced() ? 0 : 1;
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
@@ -25,7 +25,7 @@
 final class Fleet {
 
 	/** So many sizes have an index of their own; the others share rounded ones. */
-	private static final int EXACT_INDEXES = 36;
+	private static final int MAX_EXACT_SLOT_INDEXES = 36;
 
 	private final Map<WorkerId, WorkerNode> workers = new TreeMap<>();
 
@@ -33,22 +33,22 @@
 
 	private final Map<ZoneId, Map<RackId, RackNode>> racks = new HashMap<>();
 
-	private final List<RackNode> rackList = new ArrayList<>();
+	private final List<RackNode> racksByOrdinal = new ArrayList<>();
 
 	/** All workers that ever joined, by their order. */
-	private final List<WorkerNode> byOrder = new ArrayList<>();
+	private final List<WorkerNode> workersByOrdinal = new ArrayList<>();
 
 	private final Map<SlotKey, SlotIndex> slotIndexes = new HashMap<>();
 
 	/** Workers whose place in the indexes is not up to date. */
-	private final Set<WorkerNode> stale = new LinkedHashSet<>();
+	private final Set<WorkerNode> workersToReindex = new LinkedHashSet<>();
 
-	private final Map<Room, WorkerIndex> roomIndexes = new EnumMap<>(Room.class);
+	private final Map<CapacityView, WorkerIndex> workerIndexes = new EnumMap<>(CapacityView.class);
 
 	/** Workers on which room has grown since it was last taken. */
-	private final Map<WorkerNode, Boolean> grown = new LinkedHashMap<>();
+	private final Map<WorkerNode, Boolean> changedWorkers = new LinkedHashMap<>();
 
-	private Capacities capacities;
+	private FleetCapacity capacities;
 
 	/** The whole fleet's capacity, for dominant shares. */
 	private long totalAccelerators;
@@ -70,35 +70,35 @@
 	}
 
 	List<RackNode> racks() {
-		return this.rackList;
+		return this.racksByOrdinal;
 	}
 
-	WorkerNode worker(int order) {
-		return this.byOrder.get(order);
+	WorkerNode worker(int ordinal) {
+		return this.workersByOrdinal.get(ordinal);
 	}
 
-	RackNode rack(int order) {
-		return this.rackList.get(order);
+	RackNode rack(int ordinal) {
+		return this.racksByOrdinal.get(ordinal);
 	}
 
 	/**
 	 * The index of slots for tasks of a size, made on first use.
-	 * @param room which room counts
+	 * @param view which room counts
 	 * @param need what each task needs
 	 * @return the index
 	 */
-	SlotIndex slots(Room room, Resources need) {
-		refresh();
-		SlotIndex exact = this.slotIndexes.get(new SlotKey(room, need));
+	SlotIndex slotIndex(CapacityView view, Resources need) {
+		refreshIndexes();
+		SlotIndex exact = this.slotIndexes.get(new SlotKey(view, need));
 		if (exact != null) {
 			return exact;
 		}
-		boolean isExact = this.slotIndexes.size() < EXACT_INDEXES;
-		SlotKey key = new SlotKey(room, isExact ? need : SlotIndex.unit(need));
+		boolean isExact = this.slotIndexes.size() < MAX_EXACT_SLOT_INDEXES;
+		SlotKey key = new SlotKey(view, isExact ? need : SlotIndex.roundTaskSize(need));
 		SlotIndex index = this.slotIndexes.get(key);
 		if (index == null) {
-			index = new SlotIndex(room, key.unit());
-			this.byOrder.forEach(index::update);
+			index = new SlotIndex(view, key.taskSize());
+			this.workersByOrdinal.forEach(index::update);
 			this.slotIndexes.put(key, index);
 		}
 		return index;
@@ -106,16 +106,16 @@
 
 	/**
 	 * The index of workers by room, made on first use.
-	 * @param room which room counts
+	 * @param view which room counts
 	 * @return the index
 	 */
-	WorkerIndex byRoom(Room room) {
-		refresh();
-		WorkerIndex index = this.roomIndexes.get(room);
+	WorkerIndex workerIndex(CapacityView view) {
+		refreshIndexes();
+		WorkerIndex index = this.workerIndexes.get(view);
 		if (index == null) {
-			index = new WorkerIndex(room);
-			this.byOrder.forEach(index::update);
-			this.roomIndexes.put(room, index);
+			index = new WorkerIndex(view);
+			this.workersByOrdinal.forEach(index::update);
+			this.workerIndexes.put(view, index);
 		}
 		return index;
 	}
@@ -132,14 +132,14 @@
 	WorkerNode join(WorkerInfo info) {
 		WorkerNode node = this.workers.get(info.id());
 		if (node == null || !node.info.zone().equals(info.zone()) || !node.info.rack().equals(info.rack())) {
-			node = place(info);
+			node = addNode(info);
 		}
-		count(node, -1);
+		addToTotals(node, -1);
 		node.info = info;
 		node.present = true;
 		node.leaving = false;
-		count(node, 1);
-		changed(node);
+		addToTotals(node, 1);
+		markChanged(node);
 		return node;
 	}
 
@@ -147,37 +147,37 @@
 	 * What the empty fleet holds, worked out again after workers joined or were lost.
 	 * @return the capacities
 	 */
-	Capacities capacities() {
+	FleetCapacity capacities() {
 		if (this.capacities == null) {
-			this.capacities = new Capacities(this.rackList);
+			this.capacities = new FleetCapacity(this.racksByOrdinal);
 		}
 		return this.capacities;
 	}
 
-	void leaving(WorkerNode node) {
+	void markLeaving(WorkerNode node) {
 		node.leaving = true;
-		changed(node);
+		markChanged(node);
 	}
 
-	void lost(WorkerNode node) {
-		count(node, -1);
+	void markLost(WorkerNode node) {
+		addToTotals(node, -1);
 		node.present = false;
-		changed(node);
+		markChanged(node);
 	}
 
-	void book(Member member) {
+	void allocate(Member member) {
 		Resources need = member.gang.job.spec.shape().perMember();
 		member.booked = true;
 		member.gang.booked++;
 		member.worker.members.add(member);
-		member.worker.used.add(need, 1);
+		member.worker.allocated.add(need, 1);
 		if (member.gang.firm) {
-			member.worker.firm.add(need, 1);
+			member.worker.protectedAllocation.add(need, 1);
 		}
 		if (!member.gang.job.isPreemptible()) {
-			member.worker.pinned.add(need, 1);
+			member.worker.pinnedAllocation.add(need, 1);
 		}
-		changed(member.worker);
+		markChanged(member.worker);
 	}
 
 	void release(Member member) {
@@ -188,57 +188,57 @@
 		member.booked = false;
 		member.gang.booked--;
 		member.worker.members.remove(member);
-		member.worker.used.add(need, -1);
+		member.worker.allocated.add(need, -1);
 		if (member.gang.firm) {
-			member.worker.firm.add(need, -1);
+			member.worker.protectedAllocation.add(need, -1);
 		}
 		if (!member.gang.job.isPreemptible()) {
-			member.worker.pinned.add(need, -1);
+			member.worker.pinnedAllocation.add(need, -1);
 		}
-		changed(member.worker);
+		markChanged(member.worker);
 	}
 
 	/**
 	 * Lets others preempt an attempt that stayed until now.
 	 * @param gang the attempt
 	 */
-	void soften(Gang gang) {
-		setFirm(gang, false);
+	void allowPreemption(Gang gang) {
+		setProtected(gang, false);
 	}
 
 	/**
 	 * Protects an attempt from others again.
 	 * @param gang the attempt
 	 */
-	void harden(Gang gang) {
-		setFirm(gang, true);
+	void protectFromPreemption(Gang gang) {
+		setProtected(gang, true);
 	}
 
-	private void setFirm(Gang gang, boolean firm) {
-		if (gang.firm == firm) {
+	private void setProtected(Gang gang, boolean isProtected) {
+		if (gang.firm == isProtected) {
 			return;
 		}
-		gang.firm = firm;
+		gang.firm = isProtected;
 		for (Member member : gang.members) {
 			if (member.booked) {
-				member.worker.firm.add(gang.job.spec.shape().perMember(), firm ? 1 : -1);
-				changed(member.worker);
+				member.worker.protectedAllocation.add(gang.job.spec.shape().perMember(), isProtected ? 1 : -1);
+				markChanged(member.worker);
 			}
 		}
 	}
 
-	void changed(WorkerNode node) {
-		this.grown.put(node, Boolean.TRUE);
-		this.stale.add(node);
+	void markChanged(WorkerNode node) {
+		this.changedWorkers.put(node, Boolean.TRUE);
+		this.workersToReindex.add(node);
 	}
 
 	/**
 	 * The workers whose books changed since the last call.
 	 * @return the workers
 	 */
-	List<WorkerNode> takeGrown() {
-		List<WorkerNode> taken = new ArrayList<>(this.grown.keySet());
-		this.grown.clear();
+	List<WorkerNode> takeChangedWorkers() {
+		List<WorkerNode> taken = new ArrayList<>(this.changedWorkers.keySet());
+		this.changedWorkers.clear();
 		return taken;
 	}
 
@@ -247,7 +247,7 @@
 	 * @param amount the amount
 	 * @return the largest of its shares in each dimension
 	 */
-	double dominantShare(Amount amount) {
+	double dominantShare(ResourceSum amount) {
 		double share = 0;
 		share = Math.max(share, (double) amount.accelerators / Math.max(1, this.totalAccelerators));
 		share = Math.max(share, (double) amount.cores / Math.max(1, this.totalCores));
@@ -258,31 +258,31 @@
 	 * Brings the indexes up to date. A gang changes its workers' books many times over;
 	 * each is put in its new place once, when an index is asked next.
 	 */
-	void refresh() {
-		if (this.stale.isEmpty()) {
+	void refreshIndexes() {
+		if (this.workersToReindex.isEmpty()) {
 			return;
 		}
-		for (WorkerNode node : this.stale) {
+		for (WorkerNode node : this.workersToReindex) {
 			for (SlotIndex index : this.slotIndexes.values()) {
 				index.update(node);
 			}
-			for (WorkerIndex index : this.roomIndexes.values()) {
+			for (WorkerIndex index : this.workerIndexes.values()) {
 				index.update(node);
 			}
 		}
-		this.stale.clear();
+		this.workersToReindex.clear();
 	}
 
-	private WorkerNode place(WorkerInfo info) {
-		WorkerNode old = this.workers.get(info.id());
-		if (old != null) {
-			old.rack.workers.remove(old);
-			count(old, -1);
-			old.present = false;
+	private WorkerNode addNode(WorkerInfo info) {
+		WorkerNode previous = this.workers.get(info.id());
+		if (previous != null) {
+			previous.rack.workers.remove(previous);
+			addToTotals(previous, -1);
+			previous.present = false;
 		}
 		RackNode rack = rack(info);
-		WorkerNode node = new WorkerNode(info, rack, this.byOrder.size());
-		this.byOrder.add(node);
+		WorkerNode node = new WorkerNode(info, rack, this.workersByOrdinal.size());
+		this.workersByOrdinal.add(node);
 		rack.workers.add(node);
 		this.workers.put(info.id(), node);
 		return node;
@@ -290,29 +290,29 @@
 
 	private RackNode rack(WorkerInfo info) {
 		ZoneNode zone = zone(info.zone());
-		Map<RackId, RackNode> known = this.racks.computeIfAbsent(info.zone(), (id) -> new HashMap<>());
-		RackNode rack = known.get(info.rack());
+		Map<RackId, RackNode> racksOfZone = this.racks.computeIfAbsent(info.zone(), (id) -> new HashMap<>());
+		RackNode rack = racksOfZone.get(info.rack());
 		if (rack == null) {
-			rack = new RackNode(info.rack(), zone, this.rackList.size());
-			known.put(info.rack(), rack);
+			rack = new RackNode(info.rack(), zone, this.racksByOrdinal.size());
+			racksOfZone.put(info.rack(), rack);
 			zone.racks.add(rack);
-			this.rackList.add(rack);
+			this.racksByOrdinal.add(rack);
 		}
 		return rack;
 	}
 
-	private void count(WorkerNode node, int times) {
+	private void addToTotals(WorkerNode node, int factor) {
 		this.capacities = null;
 		if (!node.present) {
 			return;
 		}
 		Resources capacity = node.capacity();
-		this.totalAccelerators += (long) capacity.accelerators() * times;
-		this.totalCores += (long) capacity.cores() * times;
-		this.totalMemoryMb += (long) capacity.memoryMb() * times;
+		this.totalAccelerators += (long) capacity.accelerators() * factor;
+		this.totalCores += (long) capacity.cores() * factor;
+		this.totalMemoryMb += (long) capacity.memoryMb() * factor;
 	}
 
-	private record SlotKey(Room room, Resources unit) {
+	private record SlotKey(CapacityView view, Resources taskSize) {
 
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Capacities.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/FleetCapacity.java
@@ -12,31 +12,33 @@
  * What the fleet holds when it is empty, by kinds of worker that are equal. Valid until a
  * worker joins or is gone. Not thread-safe.
  */
-final class Capacities {
+final class FleetCapacity {
 
 	private final List<RackNode> racks;
 
-	private final Map<GangShape, Integer> mostMembers = new HashMap<>();
+	private final Map<GangShape, Integer> maxMembers = new HashMap<>();
 
-	private Resources largest = Resources.NONE;
+	private Resources largestPerDimension = Resources.NONE;
 
 	private boolean empty = true;
 
-	private final java.util.Set<Resources> kinds = new java.util.LinkedHashSet<>();
+	private final java.util.Set<Resources> distinctCapacities = new java.util.LinkedHashSet<>();
 
-	Capacities(List<RackNode> racks) {
+	FleetCapacity(List<RackNode> racks) {
 		this.racks = racks;
 		for (RackNode rack : racks) {
 			for (WorkerNode worker : rack.workers) {
 				if (worker.present) {
-					this.kinds.add(worker.capacity());
+					this.distinctCapacities.add(worker.capacity());
 					this.empty = false;
 				}
 			}
 		}
-		for (Resources kind : this.kinds) {
-			this.largest = new Resources(Math.max(this.largest.accelerators(), kind.accelerators()),
-					Math.max(this.largest.cores(), kind.cores()), Math.max(this.largest.memoryMb(), kind.memoryMb()));
+		for (Resources capacity : this.distinctCapacities) {
+			this.largestPerDimension = new Resources(
+					Math.max(this.largestPerDimension.accelerators(), capacity.accelerators()),
+					Math.max(this.largestPerDimension.cores(), capacity.cores()),
+					Math.max(this.largestPerDimension.memoryMb(), capacity.memoryMb()));
 		}
 	}
 
@@ -49,20 +51,21 @@
 	 * @param need what one worker has to hold
 	 * @return a sentence, empty if some worker holds it
 	 */
-	Optional<String> dimensionOverLargest(Resources need) {
-		for (Resources kind : this.kinds) {
-			if (need.fitsIn(kind)) {
+	Optional<String> explainExceededDimension(Resources need) {
+		for (Resources capacity : this.distinctCapacities) {
+			if (need.fitsIn(capacity)) {
 				return Optional.empty();
 			}
 		}
-		if (need.accelerators() > this.largest.accelerators()) {
-			return Optional.of(over("accelerators", need.accelerators(), this.largest.accelerators()));
+		if (need.accelerators() > this.largestPerDimension.accelerators()) {
+			return Optional
+				.of(exceededMessage("accelerators", need.accelerators(), this.largestPerDimension.accelerators()));
 		}
-		if (need.cores() > this.largest.cores()) {
-			return Optional.of(over("cores", need.cores(), this.largest.cores()));
+		if (need.cores() > this.largestPerDimension.cores()) {
+			return Optional.of(exceededMessage("cores", need.cores(), this.largestPerDimension.cores()));
 		}
-		if (need.memoryMb() > this.largest.memoryMb()) {
-			return Optional.of(over("memory", need.memoryMb(), this.largest.memoryMb()));
+		if (need.memoryMb() > this.largestPerDimension.memoryMb()) {
+			return Optional.of(exceededMessage("memory", need.memoryMb(), this.largestPerDimension.memoryMb()));
 		}
 		return Optional.of("accelerators, cores and memory: no single worker has enough of all three");
 	}
@@ -72,23 +75,23 @@
 	 * @param shape the gang
 	 * @return the number of members
 	 */
-	int mostMembers(GangShape shape) {
-		return this.mostMembers.computeIfAbsent(shape, this::countMembers);
+	int maxMembers(GangShape shape) {
+		return this.maxMembers.computeIfAbsent(shape, this::computeMaxMembers);
 	}
 
-	private int countMembers(GangShape shape) {
-		int all = 0;
+	private int computeMaxMembers(GangShape shape) {
+		int total = 0;
 		int best = 0;
 		Map<ZoneNode, Integer> zones = new HashMap<>();
 		for (RackNode rack : this.racks) {
 			int inRack = 0;
 			for (WorkerNode worker : rack.workers) {
-				int count = worker.present ? fitting(shape.perMember(), worker.capacity()) : 0;
-				inRack = saturate(inRack + (long) count);
+				int count = worker.present ? countFitting(shape.perMember(), worker.capacity()) : 0;
+				inRack = saturateToInt(inRack + (long) count);
 				best = Math.max(best, count);
 			}
-			all = saturate(all + (long) inRack);
-			zones.merge(rack.zone, inRack, (one, other) -> saturate(one + (long) other));
+			total = saturateToInt(total + (long) inRack);
+			zones.merge(rack.zone, inRack, (one, other) -> saturateToInt(one + (long) other));
 			if (shape.adjacency() == org.almondmount.model.Adjacency.RACK) {
 				best = Math.max(best, inRack);
 			}
@@ -96,22 +99,22 @@
 		return switch (shape.adjacency()) {
 			case WORKER, RACK -> best;
 			case ZONE -> zones.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-			case ANY -> all;
+			case ANY -> total;
 		};
 	}
 
-	static int fitting(Resources need, Resources capacity) {
+	static int countFitting(Resources need, Resources capacity) {
 		int count = GangShape.LARGEST_GANG;
 		count = (need.accelerators() != 0) ? Math.min(count, capacity.accelerators() / need.accelerators()) : count;
 		count = (need.cores() != 0) ? Math.min(count, capacity.cores() / need.cores()) : count;
 		return (need.memoryMb() != 0) ? Math.min(count, capacity.memoryMb() / need.memoryMb()) : count;
 	}
 
-	private static int saturate(long count) {
+	private static int saturateToInt(long count) {
 		return (int) Math.min(count, Integer.MAX_VALUE);
 	}
 
-	private static String over(String dimension, int need, int largest) {
+	private static String exceededMessage(String dimension, int need, int largest) {
 		return dimension + ": " + need + " are asked for on one worker, the largest has " + largest;
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Gang.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Gang.java
@@ -48,7 +48,7 @@
 	boolean firm;
 
 	/** The spot of its owner's guarantee that it runs in, null outside. */
-	Spot spot;
+	GuaranteeReservation spot;
 
 	int prepared;
 
--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -26,7 +26,7 @@
 
 	private final WaitingJobs waiting;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
 	private final Health health;
 
@@ -35,7 +35,7 @@
 	/** Attempts that go on once starts are allowed again. */
 	private final List<Gang> held = new ArrayList<>();
 
-	GangRunner(Desk desk, Fleet fleet, JobBook book, WaitingJobs waiting, GuaranteeLedger ledger, Health health,
+	GangRunner(Desk desk, Fleet fleet, JobBook book, WaitingJobs waiting, GuaranteeAllocator ledger, Health health,
 			RunTimes runTimes) {
 		this.desk = desk;
 		this.fleet = fleet;
@@ -53,7 +53,7 @@
 	 * @param spot the spot of its owner's guarantee in which it runs, null outside
 	 * @return the attempt
 	 */
-	Gang launch(JobState job, List<WorkerNode> places, Spot spot) {
+	Gang launch(JobState job, List<WorkerNode> places, GuaranteeReservation spot) {
 		this.waiting.remove(job);
 		job.idled = 0;
 		job.lastAttempt++;
@@ -66,7 +66,7 @@
 			gang.members[i] = member;
 		}
 		if (spot != null) {
-			this.ledger.charge(spot, gang);
+			this.ledger.attach(spot, gang);
 		}
 		for (Member member : gang.members) {
 			book(member);
@@ -92,7 +92,7 @@
 			return;
 		}
 		for (Member member : gang.members) {
-			if (member.worker.isOverbooked()) {
+			if (member.worker.isOverallocated()) {
 				return;
 			}
 		}
@@ -247,8 +247,8 @@
 				victim.job.movedAt = this.desk.now;
 			}
 			if (victim.spot != null) {
-				this.ledger.uncharge(victim);
-				this.fleet.soften(victim);
+				this.ledger.detach(victim);
+				this.fleet.allowPreemption(victim);
 			}
 			suspend(victim, why, this.desk.policy.timeouts().checkpoint().toMillis());
 		}
@@ -355,7 +355,7 @@
 	}
 
 	void book(Member member) {
-		this.fleet.book(member);
+		this.fleet.allocate(member);
 		charge(member, 1);
 	}
 
@@ -377,7 +377,7 @@
 	}
 
 	private void clearOthers(WorkerNode worker) {
-		if (worker.isOverbooked()) {
+		if (worker.isOverallocated()) {
 			return;
 		}
 		for (Member other : new ArrayList<>(worker.members)) {
--- /dev/null
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
@@ -0,0 +1,555 @@
+package org.almondmount.jobs.impl;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Predicate;
+
+import org.almondmount.jobs.JobFeature;
+import org.almondmount.model.Adjacency;
+import org.almondmount.model.Configuration;
+import org.almondmount.model.Customer;
+import org.almondmount.model.CustomerId;
+import org.almondmount.model.GangShape;
+import org.almondmount.model.GuaranteedShape;
+import org.almondmount.model.Resources;
+
+/**
+ * Keeps a spot for each guaranteed gang that is not in use. Not thread-safe.
+ * <p>
+ * On every worker that takes work, {@code firm + reserved} stays within the capacity:
+ * whatever else is there can be preempted, so each spot can be reclaimed, all of them at
+ * the same time. The check for a placement is local to its workers. A spot that has no
+ * place, because workers were lost or firm work is in the way, is at risk and is laid out
+ * again as soon as room grows.
+ */
+final class GuaranteeAllocator {
+
+	/** Closest adjacency first, then the largest. */
+	private static final Comparator<GuaranteeReservation> TIGHTEST_FIRST = Comparator
+		.comparing((GuaranteeReservation spot) -> spot.shape.adjacency())
+		.thenComparing((spot) -> -spot.shape.total().accelerators())
+		.thenComparing((spot) -> -spot.shape.total().cores())
+		.thenComparing((spot) -> spot.customer);
+
+	/** Moving every spot is dear; between two such tries only single ones are placed. */
+	private static final long MIN_REBUILD_INTERVAL_MILLIS = 1_000;
+
+	private static final long REBUILD_INTERVAL_MILLIS_PER_RESERVATION = 5;
+
+	/** Spots lie on workers that need not prove themselves first. */
+	static final Predicate<WorkerNode> NOT_ON_PROBATION = (worker) -> !worker.probation;
+
+	private static final double MAX_HOLD_MILLIS = 30_000;
+
+	private final Desk context;
+
+	private final Fleet fleet;
+
+	private final GangPlacer placer;
+
+	private final Map<CustomerId, List<GuaranteeReservation>> reservations = new TreeMap<>();
+
+	private final Set<GuaranteeReservation> unplaced = new LinkedHashSet<>();
+
+	/** Customers whose spots have changed since they were last taken. */
+	private final Set<CustomerId> changedCustomers = new LinkedHashSet<>();
+
+	private long nextRebuildAtMillis = Long.MIN_VALUE;
+
+	GuaranteeAllocator(Desk context, Fleet fleet, GangPlacer placer) {
+		this.context = context;
+		this.fleet = fleet;
+		this.placer = placer;
+	}
+
+	/**
+	 * Takes the guarantees of a configuration over.
+	 * @param configuration the configuration
+	 */
+	void configure(Configuration configuration) {
+		for (CustomerId customer : new ArrayList<>(this.reservations.keySet())) {
+			if (!configuration.customers().containsKey(customer)) {
+				withdraw(this.reservations.remove(customer));
+			}
+		}
+		for (Customer customer : new TreeMap<>(configuration.customers()).values()) {
+			configure(customer);
+		}
+		this.nextRebuildAtMillis = this.context.now;
+		placeOrRebuild();
+	}
+
+	/** Finds places for the spots that have none. */
+	void placeOrRebuild() {
+		if (this.unplaced.isEmpty() || placeUnplaced()) {
+			return;
+		}
+		if (this.context.now >= this.nextRebuildAtMillis) {
+			long intervalMillis = Math.max(MIN_REBUILD_INTERVAL_MILLIS,
+					allReservations().size() * REBUILD_INTERVAL_MILLIS_PER_RESERVATION);
+			this.nextRebuildAtMillis = this.context.now + intervalMillis;
+			rebuildLayout();
+		}
+	}
+
+	/**
+	 * The customers whose spots have changed since the last call.
+	 * @return the customers
+	 */
+	List<CustomerId> takeChangedCustomers() {
+		List<CustomerId> taken = new ArrayList<>(this.changedCustomers);
+		this.changedCustomers.clear();
+		return taken;
+	}
+
+	/**
+	 * Whether work that stays may be placed on a worker: not where a spot that has no
+	 * place could lie if everything else left, or the spot would wait for that work.
+	 * @param worker the worker
+	 * @return true if it may
+	 */
+	boolean allowsProtectedWork(WorkerNode worker) {
+		for (GuaranteeReservation reservation : this.unplaced) {
+			if (fitsWhenEmpty(worker, reservation.shape)) {
+				return false;
+			}
+		}
+		return true;
+	}
+
+	/**
+	 * Whether any worker has room for a task beside all spots on it, in use or not.
+	 * @param need what the task needs
+	 * @return true if one has
+	 */
+	boolean hasCapacityBesideGuarantees(Resources need) {
+		for (WorkerNode worker : this.fleet.workers()) {
+			ResourceSum left = new ResourceSum();
+			left.add(worker.capacity(), 1);
+			left.add(need, -1);
+			for (GuaranteeReservation.WorkerPortion portion : worker.portions) {
+				left.add(portion.reservation.shape.perMember(), -portion.memberCount);
+			}
+			if (worker.isAccepting() && left.isNonNegative()) {
+				return true;
+			}
+		}
+		return false;
+	}
+
+	private boolean fitsWhenEmpty(WorkerNode worker, GangShape shape) {
+		if (shape.adjacency() != Adjacency.WORKER && shape.adjacency() != Adjacency.RACK) {
+			return true;
+		}
+		List<WorkerNode> domain = (shape.adjacency() == Adjacency.WORKER) ? List.of(worker) : worker.rack.workers;
+		int members = 0;
+		for (WorkerNode each : domain) {
+			if (each.isAccepting()) {
+				members += FleetCapacity.countFitting(shape.perMember(), each.capacity());
+			}
+		}
+		return members >= shape.members();
+	}
+
+	Set<GuaranteeReservation> unplaced() {
+		return this.unplaced;
+	}
+
+	List<GuaranteeReservation> reservations(CustomerId customer) {
+		return this.reservations.getOrDefault(customer, List.of());
+	}
+
+	List<GuaranteeReservation> allReservations() {
+		List<GuaranteeReservation> all = new ArrayList<>();
+		this.reservations.values().forEach(all::addAll);
+		return all;
+	}
+
+	/**
+	 * Whether a job and all that its customer has already are no more than the customer's
+	 * guarantees altogether.
+	 * @param job the job
+	 * @return true if so
+	 */
+	boolean isWithinGuarantees(JobState job) {
+		ResourceSum left = new ResourceSum();
+		for (GuaranteeReservation reservation : reservations(job.spec.customer())) {
+			left.add(reservation.shape.total(), 1);
+		}
+		left.subtract(job.queue.customer.used);
+		left.add(job.spec.shape().total(), -1);
+		return left.isNonNegative();
+	}
+
+	/**
+	 * Workers inside a spot for each member of a gang.
+	 * @param shape the gang
+	 * @param reservation the spot
+	 * @return a worker for each member, null if it does not fit what is left of the spot
+	 */
+	List<WorkerNode> findWorkersInside(GangShape shape, GuaranteeReservation reservation) {
+		if (!reservation.isPlaced()) {
+			return null;
+		}
+		Map<Object, List<WorkerNode>> workersByDomain = new LinkedHashMap<>();
+		for (GuaranteeReservation.WorkerPortion portion : reservation.portions) {
+			List<WorkerNode> found = workersByDomain.computeIfAbsent(adjacencyDomain(shape.adjacency(), portion.worker),
+					(domain) -> new ArrayList<>());
+			for (int slots = portion.slots(shape.perMember()); slots > 0 && found.size() < shape.members(); slots--) {
+				found.add(portion.worker);
+			}
+			if (found.size() == shape.members()) {
+				return found;
+			}
+		}
+		return null;
+	}
+
+	/**
+	 * Moves a spot that is not in use, or gives it its first place.
+	 * @param reservation the spot
+	 * @param memberWorkers a worker for each member
+	 */
+	void place(GuaranteeReservation reservation, List<WorkerNode> memberWorkers) {
+		unplace(reservation);
+		Map<WorkerNode, Integer> members = new LinkedHashMap<>();
+		for (WorkerNode worker : memberWorkers) {
+			members.merge(worker, 1, Integer::sum);
+		}
+		members.forEach((worker, count) -> {
+			GuaranteeReservation.WorkerPortion portion = new GuaranteeReservation.WorkerPortion(reservation, worker,
+					count);
+			reservation.portions.add(portion);
+			worker.portions.add(portion);
+			portion.addToWorker(1);
+			this.fleet.markChanged(worker);
+		});
+		this.unplaced.remove(reservation);
+		this.changedCustomers.add(reservation.customer);
+	}
+
+	/**
+	 * Takes a spot's place away.
+	 * @param reservation the spot
+	 */
+	void unplace(GuaranteeReservation reservation) {
+		setHeld(reservation, false);
+		for (GuaranteeReservation.WorkerPortion portion : reservation.portions) {
+			portion.addToWorker(-1);
+			portion.worker.portions.remove(portion);
+			this.fleet.markChanged(portion.worker);
+		}
+		reservation.portions.clear();
+		reservation.degraded = false;
+	}
+
+	/**
+	 * Has an attempt of the owner run inside a spot.
+	 * @param reservation the spot
+	 * @param gang the attempt, with its members' workers
+	 */
+	void attach(GuaranteeReservation reservation, Gang gang) {
+		setHeld(reservation, false);
+		gang.spot = reservation;
+		reservation.ownerGangs.add(gang);
+		addOwnerUsage(reservation, gang, 1);
+	}
+
+	/**
+	 * Gives back what an attempt has of its spot, as a member's room is released.
+	 * @param member the member
+	 */
+	void release(Member member) {
+		GuaranteeReservation reservation = member.gang.spot;
+		if (reservation == null) {
+			return;
+		}
+		GuaranteeReservation.WorkerPortion portion = findPortion(reservation, member.worker);
+		if (portion != null) {
+			addOwnerUsage(portion, member.gang.job.spec.shape().perMember(), -1);
+		}
+		if (member.gang.booked > 0) {
+			return;
+		}
+		completeDetach(member.gang, reservation);
+	}
+
+	/**
+	 * Takes an attempt out of its spot while its members still have their room.
+	 * @param gang the attempt
+	 */
+	void detach(Gang gang) {
+		GuaranteeReservation reservation = gang.spot;
+		for (Member member : gang.members) {
+			GuaranteeReservation.WorkerPortion portion = member.booked ? findPortion(reservation, member.worker) : null;
+			if (portion != null) {
+				addOwnerUsage(portion, gang.job.spec.shape().perMember(), -1);
+			}
+		}
+		completeDetach(gang, reservation);
+	}
+
+	private void completeDetach(Gang gang, GuaranteeReservation reservation) {
+		gang.spot = null;
+		reservation.ownerGangs.remove(gang);
+		this.changedCustomers.add(reservation.customer);
+		if (reservation.isVacant() && reservation.isPlaced()) {
+			holdAfterUse(reservation);
+		}
+		if (reservation.isVacant() && reservation.withdrawn) {
+			unplace(reservation);
+		}
+		else if (reservation.isVacant() && reservation.degraded) {
+			unplace(reservation);
+			this.unplaced.add(reservation);
+		}
+	}
+
+	/**
+	 * A worker takes no more work: spots on it need another place.
+	 * @param worker the worker
+	 */
+	void onWorkerUnavailable(WorkerNode worker) {
+		for (GuaranteeReservation.WorkerPortion portion : new ArrayList<>(worker.portions)) {
+			GuaranteeReservation reservation = portion.reservation;
+			if (reservation.isVacant()) {
+				unplace(reservation);
+				this.unplaced.add(reservation);
+			}
+			else {
+				reservation.degraded = true;
+			}
+		}
+	}
+
+	/**
+	 * A worker takes work again: spots in use on it are whole again.
+	 * @param worker the worker
+	 */
+	void onWorkerAvailable(WorkerNode worker) {
+		for (GuaranteeReservation.WorkerPortion portion : worker.portions) {
+			GuaranteeReservation reservation = portion.reservation;
+			reservation.degraded = false;
+			for (GuaranteeReservation.WorkerPortion other : reservation.portions) {
+				reservation.degraded |= !other.worker.isTrusted();
+			}
+		}
+	}
+
+	/**
+	 * Moves spots off a worker on which they don't fit any more, because it has less than
+	 * before or was found to run work that stays.
+	 * @param worker the worker
+	 */
+	void unplaceExcess(WorkerNode worker) {
+		for (GuaranteeReservation.WorkerPortion portion : new ArrayList<>(worker.portions)) {
+			if (fitsCapacity(worker)) {
+				return;
+			}
+			if (portion.reservation.isVacant()) {
+				unplace(portion.reservation);
+				this.unplaced.add(portion.reservation);
+			}
+		}
+	}
+
+	private static boolean fitsCapacity(WorkerNode worker) {
+		return CapacityView.RECLAIMABLE.accelerators(worker) >= 0 && CapacityView.RECLAIMABLE.cores(worker) >= 0
+				&& CapacityView.RECLAIMABLE.memoryMb(worker) >= 0;
+	}
+
+	/**
+	 * Keeps borrowers out of a spot for a while after its use: as long as leaving it idle
+	 * costs what having them leave cost last time. Whatever the owner does next, at most
+	 * twice the least possible is lost.
+	 * @param reservation the spot
+	 */
+	private void holdAfterUse(GuaranteeReservation reservation) {
+		long millis = (long) Math.min(MAX_HOLD_MILLIS,
+				1000 * reservation.lastEvictionLoss / Evictor.size(reservation.shape));
+		if (millis <= 0 || !this.context.policy.has(JobFeature.SPOT_KEEPING)) {
+			return;
+		}
+		setHeld(reservation, true);
+		reservation.holdGeneration++;
+		int generation = reservation.holdGeneration;
+		this.context.timers.at(this.context.now + millis, () -> {
+			if (reservation.holdGeneration == generation && reservation.held) {
+				setHeld(reservation, false);
+				reservation.lastEvictionLoss = 0;
+			}
+		});
+	}
+
+	private void setHeld(GuaranteeReservation reservation, boolean held) {
+		if (reservation.held == held) {
+			return;
+		}
+		for (GuaranteeReservation.WorkerPortion portion : reservation.portions) {
+			portion.addToWorker(-1);
+		}
+		reservation.held = held;
+		for (GuaranteeReservation.WorkerPortion portion : reservation.portions) {
+			portion.addToWorker(1);
+			this.fleet.markChanged(portion.worker);
+		}
+	}
+
+	private void configure(Customer customer) {
+		Map<GangShape, Integer> wanted = new LinkedHashMap<>();
+		for (GuaranteedShape guarantee : customer.guarantees()) {
+			wanted.merge(guarantee.shape(), guarantee.gangs(), Integer::sum);
+		}
+		List<GuaranteeReservation> kept = new ArrayList<>();
+		List<GuaranteeReservation> surplus = new ArrayList<>();
+		List<GuaranteeReservation> existing = new ArrayList<>(reservations(customer.id()));
+		existing.sort(Comparator.comparing(GuaranteeReservation::isVacant));
+		for (GuaranteeReservation reservation : existing) {
+			boolean stays = wanted.getOrDefault(reservation.shape, 0) > 0;
+			wanted.computeIfPresent(reservation.shape, (shape, count) -> count - 1);
+			(stays ? kept : surplus).add(reservation);
+		}
+		withdraw(surplus);
+		wanted.forEach((shape, count) -> {
+			for (int i = 0; i < count; i++) {
+				GuaranteeReservation reservation = new GuaranteeReservation(customer.id(), shape);
+				kept.add(reservation);
+				this.unplaced.add(reservation);
+			}
+		});
+		this.reservations.put(customer.id(), kept);
+	}
+
+	private void withdraw(List<GuaranteeReservation> withdrawn) {
+		for (GuaranteeReservation reservation : withdrawn) {
+			this.unplaced.remove(reservation);
+			reservation.withdrawn = true;
+			if (reservation.isVacant()) {
+				unplace(reservation);
+			}
+		}
+	}
+
+	private boolean placeUnplaced() {
+		List<GuaranteeReservation> sorted = new ArrayList<>(this.unplaced);
+		sorted.sort(TIGHTEST_FIRST);
+		GangShape lastFailedShape = null;
+		for (GuaranteeReservation reservation : sorted) {
+			if (reservation.shape.equals(lastFailedShape)) {
+				continue;
+			}
+			List<WorkerNode> memberWorkers = findMemberWorkers(reservation.shape);
+			if (memberWorkers == null) {
+				lastFailedShape = reservation.shape;
+				continue;
+			}
+			place(reservation, memberWorkers);
+		}
+		return this.unplaced.isEmpty();
+	}
+
+	/**
+	 * Lays spots out anew, and keeps that only if more of them have a place. Small work
+	 * inside a spot is taken out of it for that: it goes on as a borrower, which is less
+	 * than a guarantee that could not be reclaimed at all.
+	 */
+	private void rebuildLayout() {
+		Map<GuaranteeReservation, List<WorkerNode>> previousLayout = new LinkedHashMap<>();
+		Map<Gang, GuaranteeReservation> detachedGangs = new LinkedHashMap<>();
+		for (GuaranteeReservation reservation : allReservations()) {
+			if (reservation.isPlaced() && hasOnlySmallPreemptibleGangs(reservation)) {
+				previousLayout.put(reservation, reservation.memberWorkers());
+				reservation.ownerGangs.forEach((gang) -> detachedGangs.put(gang, reservation));
+			}
+		}
+		detachedGangs.keySet().forEach(this::release);
+		Set<GuaranteeReservation> previouslyUnplaced = new LinkedHashSet<>(this.unplaced);
+		previousLayout.keySet().forEach(this::unplace);
+		this.unplaced.addAll(previousLayout.keySet());
+		placeUnplaced();
+		if (this.unplaced.size() < previouslyUnplaced.size()) {
+			return;
+		}
+		previousLayout.keySet().forEach(this::unplace);
+		previouslyUnplaced.forEach(this::unplace);
+		previousLayout.forEach(this::place);
+		this.unplaced.clear();
+		this.unplaced.addAll(previouslyUnplaced);
+		detachedGangs.forEach((gang, reservation) -> {
+			attach(reservation, gang);
+			this.fleet.protectFromPreemption(gang);
+		});
+	}
+
+	private void release(Gang gang) {
+		detach(gang);
+		this.fleet.allowPreemption(gang);
+	}
+
+	private static boolean hasOnlySmallPreemptibleGangs(GuaranteeReservation reservation) {
+		for (Gang gang : reservation.ownerGangs) {
+			boolean small = Evictor.size(gang.job) * 2 < Evictor.size(reservation.shape);
+			if (!small || !gang.job.isPreemptible() || !gang.isActive()) {
+				return false;
+			}
+		}
+		return true;
+	}
+
+	/**
+	 * A place for a spot: room that is free if there is any, so that nobody has to leave
+	 * when it is reclaimed.
+	 * @param shape the gang
+	 * @return the result
+	 */
+	private List<WorkerNode> findMemberWorkers(GangShape shape) {
+		List<WorkerNode> memberWorkers = this.placer.findWorkers(shape, CapacityView.UNRESERVED, NOT_ON_PROBATION);
+		return (memberWorkers != null) ? memberWorkers
+				: this.placer.findWorkers(shape, CapacityView.RECLAIMABLE, NOT_ON_PROBATION);
+	}
+
+	private void addOwnerUsage(GuaranteeReservation reservation, Gang gang, int factor) {
+		for (Member member : gang.members) {
+			GuaranteeReservation.WorkerPortion portion = (member.ending == null)
+					? findPortion(reservation, member.worker) : null;
+			if (portion != null) {
+				addOwnerUsage(portion, gang.job.spec.shape().perMember(), factor);
+			}
+		}
+	}
+
+	private void addOwnerUsage(GuaranteeReservation.WorkerPortion portion, Resources need, int factor) {
+		portion.addToWorker(-1);
+		portion.ownerUsage.add(need, factor);
+		portion.addToWorker(1);
+		this.fleet.markChanged(portion.worker);
+	}
+
+	private static GuaranteeReservation.WorkerPortion findPortion(GuaranteeReservation reservation, WorkerNode worker) {
+		if (worker == null) {
+			return null;
+		}
+		for (GuaranteeReservation.WorkerPortion portion : worker.portions) {
+			if (portion.reservation == reservation) {
+				return portion;
+			}
+		}
+		return null;
+	}
+
+	private static Object adjacencyDomain(Adjacency adjacency, WorkerNode worker) {
+		return switch (adjacency) {
+			case WORKER -> worker;
+			case RACK -> worker.rack;
+			case ZONE -> worker.rack.zone;
+			case ANY -> Adjacency.ANY;
+		};
+	}
+
+}
--- a/core/src/main/java/org/almondmount/jobs/impl/Spot.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeReservation.java
@@ -11,88 +11,89 @@
  * The adjacent place that is kept for one gang of a guaranteed shape. Its owner's work
  * inside it takes from what is kept, the rest stays kept. Mutable, not thread-safe.
  */
-final class Spot {
+final class GuaranteeReservation {
 
 	final CustomerId customer;
 
 	final GangShape shape;
 
 	/** The parts on each worker; empty while no place could be found. */
-	final List<Part> parts = new ArrayList<>();
+	final List<WorkerPortion> portions = new ArrayList<>();
 
 	/** The owner's attempts that run inside it. */
-	final List<Gang> users = new ArrayList<>(1);
+	final List<Gang> ownerGangs = new ArrayList<>(1);
 
 	/** What making room in it last lost, in accelerator seconds. */
-	double lastLoss;
+	double lastEvictionLoss;
 
 	/** Whether borrowers have to leave it alone although it is not in use. */
 	boolean held;
 
 	/** Counts the times that it was held, so that an old timer is known. */
-	int holds;
+	int holdGeneration;
 
 	/** Whether a worker of it is gone or takes no work. */
-	boolean broken;
+	boolean degraded;
 
 	/** Whether the guarantee was withdrawn while it was in use. */
 	boolean withdrawn;
 
-	Spot(CustomerId customer, GangShape shape) {
+	GuaranteeReservation(CustomerId customer, GangShape shape) {
 		this.customer = customer;
 		this.shape = shape;
 	}
 
 	boolean isPlaced() {
-		return !this.parts.isEmpty() && !this.broken;
+		return !this.portions.isEmpty() && !this.degraded;
 	}
 
 	boolean isVacant() {
-		return this.users.isEmpty();
+		return this.ownerGangs.isEmpty();
 	}
 
-	List<WorkerNode> places() {
-		List<WorkerNode> places = new ArrayList<>(this.shape.members());
-		for (Part part : this.parts) {
-			for (int i = 0; i < part.members; i++) {
-				places.add(part.worker);
+	List<WorkerNode> memberWorkers() {
+		List<WorkerNode> memberWorkers = new ArrayList<>(this.shape.members());
+		for (WorkerPortion portion : this.portions) {
+			for (int i = 0; i < portion.memberCount; i++) {
+				memberWorkers.add(portion.worker);
 			}
 		}
-		return places;
+		return memberWorkers;
 	}
 
 	/**
 	 * What one worker keeps for a spot. Mutable, not thread-safe.
 	 */
-	static final class Part {
+	static final class WorkerPortion {
 
-		final Spot spot;
+		final GuaranteeReservation reservation;
 
 		final WorkerNode worker;
 
-		final int members;
+		final int memberCount;
 
 		/** What the owner's work inside the spot has here. */
-		final Amount owned = new Amount();
+		final ResourceSum ownerUsage = new ResourceSum();
 
-		Part(Spot spot, WorkerNode worker, int members) {
-			this.spot = spot;
+		WorkerPortion(GuaranteeReservation reservation, WorkerNode worker, int memberCount) {
+			this.reservation = reservation;
 			this.worker = worker;
-			this.members = members;
+			this.memberCount = memberCount;
 		}
 
 		int accelerators() {
-			return (int) Math.max(0,
-					(long) this.spot.shape.perMember().accelerators() * this.members - this.owned.accelerators);
+			return (int) Math.max(0, (long) this.reservation.shape.perMember().accelerators() * this.memberCount
+					- this.ownerUsage.accelerators);
 		}
 
 		int cores() {
-			return (int) Math.max(0, (long) this.spot.shape.perMember().cores() * this.members - this.owned.cores);
+			return (int) Math.max(0,
+					(long) this.reservation.shape.perMember().cores() * this.memberCount - this.ownerUsage.cores);
 		}
 
 		int memoryMb() {
 			return (int) Math.max(0,
-					(long) this.spot.shape.perMember().memoryMb() * this.members - this.owned.memoryMb);
+					(long) this.reservation.shape.perMember().memoryMb() * this.memberCount - this.ownerUsage.memoryMb);
 		}
 
 		int slots(Resources need) {
@@ -104,16 +105,16 @@
 
 		/**
 		 * Takes the part that is kept out of, or back into, the worker's books.
-		 * @param times how often; negative to take away
+		 * @param factor how often; negative to take away
 		 */
-		void count(int times) {
-			this.worker.reserved.accelerators += times * accelerators();
-			this.worker.reserved.cores += times * cores();
-			this.worker.reserved.memoryMb += times * memoryMb();
-			if (this.spot.held) {
-				this.worker.held.accelerators += times * accelerators();
-				this.worker.held.cores += times * cores();
-				this.worker.held.memoryMb += times * memoryMb();
+		void addToWorker(int factor) {
+			this.worker.guaranteeReserve.accelerators += factor * accelerators();
+			this.worker.guaranteeReserve.cores += factor * cores();
+			this.worker.guaranteeReserve.memoryMb += factor * memoryMb();
+			if (this.reservation.held) {
+				this.worker.heldReserve.accelerators += factor * accelerators();
+				this.worker.heldReserve.cores += factor * cores();
+				this.worker.heldReserve.memoryMb += factor * memoryMb();
 			}
 		}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Health.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Health.java
@@ -47,7 +47,7 @@
 
 	private final Fleet fleet;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
 	private final Set<WorkerNode> quarantined = new LinkedHashSet<>();
 
@@ -55,7 +55,7 @@
 
 	private long scoreOfAllAt;
 
-	Health(Desk desk, Fleet fleet, GuaranteeLedger ledger) {
+	Health(Desk desk, Fleet fleet, GuaranteeAllocator ledger) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.ledger = ledger;
@@ -70,12 +70,12 @@
 		if (worker == null || !this.desk.policy.has(JobFeature.QUARANTINE)) {
 			return;
 		}
-		worker.score = score(worker) + weight;
-		worker.scoreAt = this.desk.now;
+		worker.failureScore = score(worker) + weight;
+		worker.failureScoreAtMillis = this.desk.now;
 		this.scoreOfAll = decayed(this.scoreOfAll, this.scoreOfAllAt) + weight;
 		this.scoreOfAllAt = this.desk.now;
-		double peers = (this.scoreOfAll - worker.score) / Math.max(1, this.fleet.workers().size() - 1);
-		boolean far = worker.score >= LIMIT && worker.score > ABOVE_PEERS * peers;
+		double peers = (this.scoreOfAll - worker.failureScore) / Math.max(1, this.fleet.workers().size() - 1);
+		boolean far = worker.failureScore >= LIMIT && worker.failureScore > ABOVE_PEERS * peers;
 		int most = (int) Math.max(1, this.fleet.workers().size() * LARGEST_SHARE);
 		if ((far || worker.probation) && !worker.quarantined && this.quarantined.size() < most) {
 			quarantine(worker);
@@ -113,20 +113,20 @@
 
 	private void absolve(WorkerNode worker) {
 		if (worker != null) {
-			worker.score = Math.max(0, score(worker) - PROGRAM_FAILED);
-			worker.scoreAt = this.desk.now;
+			worker.failureScore = Math.max(0, score(worker) - PROGRAM_FAILED);
+			worker.failureScoreAtMillis = this.desk.now;
 			worker.failedJobs.clear();
 		}
 	}
 
 	private void quarantine(WorkerNode worker) {
-		long millis = FIRST_QUARANTINE_MILLIS << Math.min(worker.quarantines, LARGEST_DOUBLING);
-		worker.quarantines++;
+		long millis = FIRST_QUARANTINE_MILLIS << Math.min(worker.quarantineCount, LARGEST_DOUBLING);
+		worker.quarantineCount++;
 		worker.quarantined = true;
 		worker.probation = false;
 		this.quarantined.add(worker);
-		this.fleet.changed(worker);
-		this.ledger.workerClosed(worker);
+		this.fleet.markChanged(worker);
+		this.ledger.onWorkerUnavailable(worker);
 		for (JobState job : worker.failedJobs) {
 			job.failures = Math.max(0, job.failures - 1);
 		}
@@ -140,13 +140,13 @@
 	private void beginProbation(WorkerNode worker) {
 		worker.quarantined = false;
 		worker.probation = true;
-		worker.score = 0;
+		worker.failureScore = 0;
 		this.quarantined.remove(worker);
-		this.fleet.changed(worker);
+		this.fleet.markChanged(worker);
 		this.desk.send(new JobCommand.Explain(worker.info.id().value(), "it is tried with one single task at a time"));
-		int quarantines = worker.quarantines;
+		int quarantines = worker.quarantineCount;
 		this.desk.timers.at(this.desk.now + LONGEST_PROBATION_MILLIS, () -> {
-			if (worker.probation && worker.quarantines == quarantines) {
+			if (worker.probation && worker.quarantineCount == quarantines) {
 				endProbation(worker);
 			}
 		});
@@ -154,14 +154,14 @@
 
 	private void endProbation(WorkerNode worker) {
 		worker.probation = false;
-		worker.score = 0;
-		this.fleet.changed(worker);
-		this.ledger.workerOpened(worker);
+		worker.failureScore = 0;
+		this.fleet.markChanged(worker);
+		this.ledger.onWorkerAvailable(worker);
 		this.desk.send(new JobCommand.Explain(worker.info.id().value(), "it gets work like any other worker again"));
 	}
 
 	private double score(WorkerNode worker) {
-		return decayed(worker.score, worker.scoreAt);
+		return decayed(worker.failureScore, worker.failureScoreAtMillis);
 	}
 
 	private double decayed(double score, long at) {
--- a/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
@@ -35,13 +35,13 @@
 
 	private final JobBook book;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
 	private final Evictor evictor;
 
-	private final Placer placer;
+	private final GangPlacer placer;
 
-	PlanPreview(Desk desk, Fleet fleet, JobBook book, GuaranteeLedger ledger, Evictor evictor, Placer placer) {
+	PlanPreview(Desk desk, Fleet fleet, JobBook book, GuaranteeAllocator ledger, Evictor evictor, GangPlacer placer) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.book = book;
@@ -52,7 +52,7 @@
 
 	PlanEffects preview(Intent intent) {
 		Configuration planned = intent.applyTo(this.desk.configuration);
-		EmptyLayout layout = new EmptyLayout(this.fleet, planned, this.desk.policy);
+		GuaranteeFeasibilityCheck layout = new GuaranteeFeasibilityCheck(this.fleet, planned, this.desk.policy);
 		if (intent instanceof Intent.PutCustomer put) {
 			return putCustomer(put.customer(), planned, layout);
 		}
@@ -64,13 +64,13 @@
 		}
 		if (intent instanceof Intent.SetZone zone) {
 			return remarks(List.of("Waiting work is placed in zone " + zone.zone()
-					+ " first; nothing that runs is moved back without need."), layout.atRisk());
+					+ " first; nothing that runs is moved back without need."), layout.describeUnplaced());
 		}
 		return remarks(List.of("It is in force as soon as it is confirmed; no running work is touched."),
-				layout.atRisk());
+				layout.describeUnplaced());
 	}
 
-	private PlanEffects putCustomer(Customer customer, Configuration planned, EmptyLayout layout) {
+	private PlanEffects putCustomer(Customer customer, Configuration planned, GuaranteeFeasibilityCheck layout) {
 		if (!layout.unplaced().isEmpty() && !onlyLess(customer)) {
 			return refused(layout.explainMisfit(customer.id()));
 		}
@@ -81,7 +81,7 @@
 			remarks.add("Work that may not be repeated is left where it runs; a new spot under it is ready"
 					+ " when it has ended.");
 		}
-		return remarks(remarks, layout.atRisk());
+		return remarks(remarks, layout.describeUnplaced());
 	}
 
 	/**
@@ -115,11 +115,11 @@
 				List.of("Its waiting and running jobs are cancelled and its guaranteed shapes are given up."));
 	}
 
-	private PlanEffects zoneOut(ZoneId id, EmptyLayout layout) {
+	private PlanEffects zoneOut(ZoneId id, GuaranteeFeasibilityCheck layout) {
 		ZoneNode zone = this.fleet.zone(id);
 		List<JobId> moves = new ArrayList<>();
 		List<JobId> stops = new ArrayList<>();
-		Map<WorkerNode, Amount> promised = new HashMap<>();
+		Map<WorkerNode, ResourceSum> promised = new HashMap<>();
 		int leftToEnd = 0;
 		for (Gang gang : gangs(zone)) {
 			boolean room = findRoom(gang, zone, promised);
@@ -134,7 +134,7 @@
 		if (leftToEnd > 0) {
 			remarks.add(leftToEnd + " jobs can't checkpoint: they may run on until the zone's grace is over.");
 		}
-		return new PlanEffects(Optional.empty(), moves, stops, layout.atRisk(), remarks);
+		return new PlanEffects(Optional.empty(), moves, stops, layout.describeUnplaced(), remarks);
 	}
 
 	private List<Gang> gangs(ZoneNode zone) {
@@ -150,18 +150,19 @@
 		return sorted;
 	}
 
-	private boolean findRoom(Gang gang, ZoneNode without, Map<WorkerNode, Amount> promised) {
+	private boolean findRoom(Gang gang, ZoneNode without, Map<WorkerNode, ResourceSum> promised) {
 		Resources need = gang.job.spec.shape().perMember();
-		List<WorkerNode> places = this.placer.find(gang.job.spec.shape(), Room.OPEN, (worker) -> {
-			Amount taken = promised.get(worker);
-			boolean left = taken == null || Room.OPEN.accelerators(worker) - taken.accelerators >= need.accelerators();
+		List<WorkerNode> places = this.placer.findWorkers(gang.job.spec.shape(), CapacityView.BORROWABLE, (worker) -> {
+			ResourceSum taken = promised.get(worker);
+			boolean left = taken == null
+					|| CapacityView.BORROWABLE.accelerators(worker) - taken.accelerators >= need.accelerators();
 			return left && worker.rack.zone != without;
 		});
 		if (places == null) {
 			return gang.firm && !this.ledger.unplaced().contains(gang.spot) && gang.spot != null;
 		}
 		for (WorkerNode worker : places) {
-			promised.computeIfAbsent(worker, (node) -> new Amount()).add(need, 1);
+			promised.computeIfAbsent(worker, (node) -> new ResourceSum()).add(need, 1);
 		}
 		return true;
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/RackNode.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/RackNode.java
@@ -15,14 +15,14 @@
 	final ZoneNode zone;
 
 	/** Its place among all racks, by which ties are broken. */
-	final int order;
+	final int ordinal;
 
 	final List<WorkerNode> workers = new ArrayList<>();
 
-	RackNode(RackId id, ZoneNode zone, int order) {
+	RackNode(RackId id, ZoneNode zone, int ordinal) {
 		this.id = id;
 		this.zone = zone;
-		this.order = order;
+		this.ordinal = ordinal;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
@@ -24,12 +24,12 @@
 
 	private final GangRunner runner;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
 	/** Recovered members whose workers have not announced themselves yet. */
 	private final Map<WorkerId, Set<Member>> expected = new HashMap<>();
 
-	Recovery(Desk desk, Fleet fleet, JobBook book, GangRunner runner, GuaranteeLedger ledger) {
+	Recovery(Desk desk, Fleet fleet, JobBook book, GangRunner runner, GuaranteeAllocator ledger) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.book = book;
@@ -104,7 +104,7 @@
 			return;
 		}
 		this.runner.book(member);
-		this.ledger.recheck(worker);
+		this.ledger.unplaceExcess(worker);
 	}
 
 	private void giveUpMissing(Gang gang) {
--- a/core/src/main/java/org/almondmount/jobs/impl/Relief.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Relief.java
@@ -60,7 +60,7 @@
 
 	private final WaitingJobs waiting;
 
-	private final Placer placer;
+	private final GangPlacer placer;
 
 	private final Evictor evictor;
 
@@ -68,16 +68,17 @@
 
 	private final Dispatcher dispatcher;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
-	private final GuaranteedStart guaranteed;
+	private final GuaranteedJobStarter guaranteed;
 
-	private final Reservations reservations;
+	private final WaitingJobReservations reservations;
 
 	private boolean ticking;
 
-	Relief(Desk desk, Fleet fleet, WaitingJobs waiting, Placer placer, Evictor evictor, GangRunner runner,
-			Dispatcher dispatcher, GuaranteeLedger ledger, GuaranteedStart guaranteed, Reservations reservations) {
+	Relief(Desk desk, Fleet fleet, WaitingJobs waiting, GangPlacer placer, Evictor evictor, GangRunner runner,
+			Dispatcher dispatcher, GuaranteeAllocator ledger, GuaranteedJobStarter guaranteed,
+			WaitingJobReservations reservations) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.waiting = waiting;
@@ -106,12 +107,12 @@
 		if (!this.desk.startsAllowed) {
 			return;
 		}
-		for (JobState late : this.reservations.review()) {
+		for (JobState late : this.reservations.dropObsolete()) {
 			if (isAged(late)) {
 				clearFor(late);
 			}
 		}
-		this.ledger.layOut();
+		this.ledger.placeOrRebuild();
 		int helped = 0;
 		for (JobState job : heads()) {
 			if (job.queue != null && help(job)) {
@@ -170,7 +171,7 @@
 	 * @return true if so
 	 */
 	private boolean clearReserved(JobState job) {
-		Reservation reservation = this.reservations.of(job);
+		WaitingJobReservation reservation = this.reservations.get(job);
 		if (reservation == null) {
 			return false;
 		}
@@ -181,9 +182,9 @@
 		}
 		int idle = 0;
 		for (WorkerNode worker : reservation.workers()) {
-			idle += Math.max(0, Room.OPEN.accelerators(worker));
+			idle += Math.max(0, CapacityView.BORROWABLE.accelerators(worker));
 		}
-		double wait = Math.min(LONGEST_GAIN_SECONDS, (reservation.readyAt() - this.desk.now) / 1000.0);
+		double wait = Math.min(LONGEST_GAIN_SECONDS, (reservation.readyAtMillis() - this.desk.now) / 1000.0);
 		double used = Math.min(idle, Evictor.size(job));
 		job.idled += used * PACE_MILLIS / 1000.0;
 		if (used * wait + job.idled < eviction.loss()) {
@@ -207,19 +208,18 @@
 	 * @return true if so
 	 */
 	private boolean defragment(JobState job) {
-		if (this.fleet.slots(room(job), job.spec.shape().perMember()).total() < job.spec.shape().members()) {
+		if (this.fleet.slotIndex(room(job), job.spec.shape().perMember()).total() < job.spec.shape().members()) {
 			return false;
 		}
-		Evictor.Eviction eviction = this.evictor
-			.cheapest(
-					job.spec.shape(), (job.isPreemptible() ? Room.MOVABLE : Room.RECLAIMABLE), (gang) -> gang.isActive()
-							&& !this.evictor.movedLately(gang) && (gang.spot == null || job.isPreemptible()),
-					usable(job));
+		Evictor.Eviction eviction = this.evictor.cheapest(job.spec.shape(),
+				(job.isPreemptible() ? CapacityView.MOVABLE : CapacityView.RECLAIMABLE), (gang) -> gang.isActive()
+						&& !this.evictor.movedLately(gang) && (gang.spot == null || job.isPreemptible()),
+				usable(job));
 		if (eviction == null) {
 			return false;
 		}
 		job.idled += Evictor.size(job) * PACE_MILLIS / 1000.0;
-		double wait = Math.min(LONGEST_GAIN_SECONDS, this.reservations.expectedWait(job) / 1000.0);
+		double wait = Math.min(LONGEST_GAIN_SECONDS, this.reservations.expectedWaitMillis(job) / 1000.0);
 		double gain = Evictor.size(job) * wait + job.idled;
 		if (gain < GAIN_OVER_COST * eviction.loss() || !fitElsewhere(eviction)) {
 			return false;
@@ -230,12 +230,12 @@
 
 	private boolean fitElsewhere(Evictor.Eviction eviction) {
 		Set<WorkerNode> cleared = new HashSet<>(eviction.places());
-		Map<WorkerNode, Amount> promised = new HashMap<>();
+		Map<WorkerNode, ResourceSum> promised = new HashMap<>();
 		for (Gang victim : eviction.victims()) {
 			Resources need = victim.job.spec.shape().perMember();
-			Room room = room(victim.job);
-			List<WorkerNode> places = this.placer.find(victim.job.spec.shape(), room, (worker) -> {
-				Amount taken = promised.get(worker);
+			CapacityView room = room(victim.job);
+			List<WorkerNode> places = this.placer.findWorkers(victim.job.spec.shape(), room, (worker) -> {
+				ResourceSum taken = promised.get(worker);
 				boolean left = taken == null || room.accelerators(worker) - taken.accelerators >= need.accelerators();
 				return left && !cleared.contains(worker);
 			});
@@ -243,7 +243,7 @@
 				return false;
 			}
 			for (WorkerNode worker : places) {
-				promised.computeIfAbsent(worker, (node) -> new Amount()).add(need, 1);
+				promised.computeIfAbsent(worker, (node) -> new ResourceSum()).add(need, 1);
 			}
 		}
 		return true;
@@ -255,7 +255,7 @@
 	 * @return true if so
 	 */
 	private boolean takeFairShare(JobState job) {
-		Amount total = new Amount();
+		ResourceSum total = new ResourceSum();
 		total.add(job.spec.shape().total(), 1);
 		CustomerQueue mine = job.queue.customer;
 		double after = this.dispatcher.received(mine) + this.fleet.dominantShare(total) / 2 / mine.weight;
@@ -286,12 +286,12 @@
 	 * @return true if so
 	 */
 	private boolean staysAbove(Evictor.Eviction eviction, double after) {
-		Map<CustomerQueue, Amount> lost = new HashMap<>();
+		Map<CustomerQueue, ResourceSum> lost = new HashMap<>();
 		for (Gang victim : eviction.victims()) {
-			lost.computeIfAbsent(this.waiting.customer(victim.job.spec.customer()), (owner) -> new Amount())
+			lost.computeIfAbsent(this.waiting.customer(victim.job.spec.customer()), (owner) -> new ResourceSum())
 				.add(victim.job.spec.shape().total(), 1);
 		}
-		for (Map.Entry<CustomerQueue, Amount> entry : lost.entrySet()) {
+		for (Map.Entry<CustomerQueue, ResourceSum> entry : lost.entrySet()) {
 			CustomerQueue owner = entry.getKey();
 			double left = this.dispatcher.received(owner)
 					- this.fleet.dominantShare(entry.getValue()) / 2 / owner.weight;
@@ -322,16 +322,16 @@
 	}
 
 	private Predicate<WorkerNode> usable(JobState job) {
-		return (worker) -> (job.isPreemptible() || this.ledger.allowsFirm(worker))
-				&& this.reservations.allows(job, worker, false);
+		return (worker) -> (job.isPreemptible() || this.ledger.allowsProtectedWork(worker))
+				&& this.reservations.mayUse(job, worker, false);
 	}
 
-	private static Room room(JobState job) {
-		return job.isPreemptible() ? Room.OPEN : Room.FIRM;
+	private static CapacityView room(JobState job) {
+		return job.isPreemptible() ? CapacityView.BORROWABLE : CapacityView.UNRESERVED;
 	}
 
-	private static Room clearable(JobState job) {
-		return job.isPreemptible() ? Room.EVICTABLE : Room.RECLAIMABLE;
+	private static CapacityView clearable(JobState job) {
+		return job.isPreemptible() ? CapacityView.EVICTABLE : CapacityView.RECLAIMABLE;
 	}
 
 	private boolean has(JobFeature feature) {
--- a/core/src/main/java/org/almondmount/jobs/impl/Amount.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ResourceSum.java
@@ -6,7 +6,7 @@
  * A running sum of resources. Mutable, not thread-safe; may be negative while a worker is
  * promised to a gang whose room is still being cleared.
  */
-final class Amount {
+final class ResourceSum {
 
 	long accelerators;
 
@@ -14,13 +14,13 @@
 
 	long memoryMb;
 
-	void add(Resources resources, int times) {
-		this.accelerators += (long) resources.accelerators() * times;
-		this.cores += (long) resources.cores() * times;
-		this.memoryMb += (long) resources.memoryMb() * times;
+	void add(Resources resources, int factor) {
+		this.accelerators += (long) resources.accelerators() * factor;
+		this.cores += (long) resources.cores() * factor;
+		this.memoryMb += (long) resources.memoryMb() * factor;
 	}
 
-	void subtract(Amount other) {
+	void subtract(ResourceSum other) {
 		this.accelerators -= other.accelerators;
 		this.cores -= other.cores;
 		this.memoryMb -= other.memoryMb;
@@ -30,7 +30,7 @@
 	 * Whether nothing is missing in any dimension.
 	 * @return true if none is negative
 	 */
-	boolean isCovered() {
+	boolean isNonNegative() {
 		return this.accelerators >= 0 && this.cores >= 0 && this.memoryMb >= 0;
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/ShapeQueue.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ShapeQueue.java
@@ -59,7 +59,7 @@
 		int members = this.key.shape().members();
 		return switch (this.key.shape().adjacency()) {
 			case WORKER -> slots.total() > 0;
-			case RACK -> !slots.racks().isEmpty() && slots.racks().last() >= SlotIndex.atLeast(members);
+			case RACK -> !slots.rackKeys().isEmpty() && slots.rackKeys().last() >= SlotIndex.minKey(members);
 			case ZONE, ANY -> slots.total() >= members;
 		};
 	}
@@ -70,20 +70,20 @@
 	 * @param guaranteed knows it
 	 * @return true if it may
 	 */
-	boolean isEntitled(GuaranteedStart guaranteed) {
+	boolean isEntitled(GuaranteedJobStarter guaranteed) {
 		if (this.entitledAt != this.customer.changes) {
 			this.entitledAt = this.customer.changes;
-			this.entitled = guaranteed.isEntitled(first());
+			this.entitled = guaranteed.mayReclaimImmediately(first());
 		}
 		return this.entitled;
 	}
 
 	private SlotIndex index(Fleet fleet) {
-		fleet.refresh();
+		fleet.refreshIndexes();
 		if (this.index == null) {
 			GangShape shape = this.key.shape();
 			boolean oneWorker = shape.adjacency() == Adjacency.WORKER;
-			this.index = fleet.slots(Room.OPEN, oneWorker ? shape.total() : shape.perMember());
+			this.index = fleet.slotIndex(CapacityView.BORROWABLE, oneWorker ? shape.total() : shape.perMember());
 		}
 		return this.index;
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/SlotIndex.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/SlotIndex.java
@@ -18,30 +18,30 @@
  */
 final class SlotIndex {
 
-	private static final int INITIAL = 16;
+	private static final int INITIAL_CAPACITY = 16;
 
-	private static final int ORDER_BITS = 32;
+	private static final int ORDINAL_BITS = 32;
 
-	final Room room;
+	final CapacityView view;
 
-	private final Resources unit;
+	private final Resources taskSize;
 
-	private int[] workerSlots = new int[INITIAL];
+	private int[] workerSlots = new int[INITIAL_CAPACITY];
 
-	private int[] rackSlots = new int[INITIAL];
+	private int[] rackSlots = new int[INITIAL_CAPACITY];
 
-	private int[] zoneSlots = new int[INITIAL];
+	private int[] zoneSlots = new int[INITIAL_CAPACITY];
 
 	private long total;
 
 	/** Racks of each zone by slots, then order. */
-	private final List<TreeSet<Long>> racksOfZone = new ArrayList<>();
+	private final List<TreeSet<Long>> rackKeysByZone = new ArrayList<>();
 
-	private final TreeSet<Long> racks = new TreeSet<>();
+	private final TreeSet<Long> rackKeys = new TreeSet<>();
 
-	SlotIndex(Room room, Resources unit) {
-		this.room = room;
-		this.unit = unit;
+	SlotIndex(CapacityView view, Resources taskSize) {
+		this.view = view;
+		this.taskSize = taskSize;
 	}
 
 	/**
@@ -49,7 +49,7 @@
 	 * @param need what a task needs
 	 * @return the rounded size
 	 */
-	static Resources unit(Resources need) {
+	static Resources roundTaskSize(Resources need) {
 		if (need.accelerators() > 0) {
 			return new Resources(need.accelerators(), 0, 0);
 		}
@@ -60,36 +60,36 @@
 	}
 
 	void update(WorkerNode worker) {
-		int slots = worker.isAccepting() ? Math.min(GangShape.LARGEST_GANG, worker.slots(this.unit, this.room)) : 0;
-		this.workerSlots = grow(this.workerSlots, worker.order);
-		int change = slots - this.workerSlots[worker.order];
+		int slots = worker.isAccepting() ? Math.min(GangShape.LARGEST_GANG, worker.slots(this.taskSize, this.view)) : 0;
+		this.workerSlots = grow(this.workerSlots, worker.ordinal);
+		int change = slots - this.workerSlots[worker.ordinal];
 		if (change == 0) {
 			return;
 		}
-		this.workerSlots[worker.order] = slots;
+		this.workerSlots[worker.ordinal] = slots;
 		RackNode rack = worker.rack;
-		this.rackSlots = grow(this.rackSlots, rack.order);
-		this.zoneSlots = grow(this.zoneSlots, rack.zone.order);
-		TreeSet<Long> zone = zone(rack.zone);
-		long before = key(this.rackSlots[rack.order], rack);
-		this.rackSlots[rack.order] += change;
-		this.zoneSlots[rack.zone.order] += change;
+		this.rackSlots = grow(this.rackSlots, rack.ordinal);
+		this.zoneSlots = grow(this.zoneSlots, rack.zone.ordinal);
+		TreeSet<Long> zoneKeys = keysOfZone(rack.zone);
+		long before = rackKey(this.rackSlots[rack.ordinal], rack);
+		this.rackSlots[rack.ordinal] += change;
+		this.zoneSlots[rack.zone.ordinal] += change;
 		this.total += change;
-		long after = key(this.rackSlots[rack.order], rack);
-		move(zone, before, after);
-		move(this.racks, before, after);
+		long after = rackKey(this.rackSlots[rack.ordinal], rack);
+		replaceKey(zoneKeys, before, after);
+		replaceKey(this.rackKeys, before, after);
 	}
 
 	int slots(WorkerNode worker) {
-		return (worker.order < this.workerSlots.length) ? this.workerSlots[worker.order] : 0;
+		return (worker.ordinal < this.workerSlots.length) ? this.workerSlots[worker.ordinal] : 0;
 	}
 
 	int slots(RackNode rack) {
-		return (rack.order < this.rackSlots.length) ? this.rackSlots[rack.order] : 0;
+		return (rack.ordinal < this.rackSlots.length) ? this.rackSlots[rack.ordinal] : 0;
 	}
 
 	int slots(ZoneNode zone) {
-		return (zone.order < this.zoneSlots.length) ? this.zoneSlots[zone.order] : 0;
+		return (zone.ordinal < this.zoneSlots.length) ? this.zoneSlots[zone.ordinal] : 0;
 	}
 
 	long total() {
@@ -97,16 +97,16 @@
 	}
 
 	/**
-	 * The keys of all racks with some slots, ascending; {@link #rackOrder} turns a key
+	 * The keys of all racks with some slots, ascending; {@link #rackOrdinal} turns a key
 	 * into the rack's order.
 	 * @return the keys
 	 */
-	TreeSet<Long> racks() {
-		return this.racks;
+	TreeSet<Long> rackKeys() {
+		return this.rackKeys;
 	}
 
-	TreeSet<Long> racks(ZoneNode zone) {
-		return zone(zone);
+	TreeSet<Long> rackKeys(ZoneNode zone) {
+		return keysOfZone(zone);
 	}
 
 	/**
@@ -114,30 +114,30 @@
 	 * @param slots the number of slots
 	 * @return the key
 	 */
-	static long atLeast(int slots) {
-		return (long) slots << ORDER_BITS;
+	static long minKey(int slots) {
+		return (long) slots << ORDINAL_BITS;
 	}
 
-	static int rackOrder(long key) {
+	static int rackOrdinal(long key) {
 		return (int) key;
 	}
 
-	private TreeSet<Long> zone(ZoneNode zone) {
-		while (this.racksOfZone.size() <= zone.order) {
-			this.racksOfZone.add(new TreeSet<>());
+	private TreeSet<Long> keysOfZone(ZoneNode zone) {
+		while (this.rackKeysByZone.size() <= zone.ordinal) {
+			this.rackKeysByZone.add(new TreeSet<>());
 		}
-		return this.racksOfZone.get(zone.order);
+		return this.rackKeysByZone.get(zone.ordinal);
 	}
 
-	private static void move(TreeSet<Long> set, long before, long after) {
-		set.remove(before);
-		if (after >= atLeast(1)) {
-			set.add(after);
+	private static void replaceKey(TreeSet<Long> keys, long before, long after) {
+		keys.remove(before);
+		if (after >= minKey(1)) {
+			keys.add(after);
 		}
 	}
 
-	private static long key(int slots, RackNode rack) {
-		return ((long) slots << ORDER_BITS) | rack.order;
+	private static long rackKey(int slots, RackNode rack) {
+		return ((long) slots << ORDINAL_BITS) | rack.ordinal;
 	}
 
 	private static int[] grow(int[] array, int position) {
--- a/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
@@ -53,7 +53,7 @@
 	}
 
 	private static boolean crowded(WorkerNode worker, int extraMemoryMb) {
-		return worker != null && Room.FREE.memoryMb(worker) < extraMemoryMb;
+		return worker != null && CapacityView.FREE.memoryMb(worker) < extraMemoryMb;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/Reservation.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservation.java
@@ -8,8 +8,8 @@
  *
  * @param job the job
  * @param workers the workers
- * @param readyAt when the room is expected to be complete
+ * @param readyAtMillis when the room is expected to be complete
  */
-record Reservation(JobState job, Set<WorkerNode> workers, long readyAt) {
+record WaitingJobReservation(JobState job, Set<WorkerNode> workers, long readyAtMillis) {
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerIndex.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerIndex.java
@@ -15,39 +15,39 @@
 
 	private static final int ACCELERATORS_SHIFT = 48;
 
-	private static final long NONE = -1;
+	private static final long NO_KEY = -1;
 
-	private static final long ORDER_MASK = (1L << CORES_SHIFT) - 1;
+	private static final long ORDINAL_MASK = (1L << CORES_SHIFT) - 1;
 
-	private final Room room;
+	private final CapacityView view;
 
 	private final TreeSet<Long> keys = new TreeSet<>();
 
 	private long[] keyOfWorker = new long[0];
 
-	WorkerIndex(Room room) {
-		this.room = room;
+	WorkerIndex(CapacityView view) {
+		this.view = view;
 	}
 
 	void update(WorkerNode worker) {
-		if (worker.order >= this.keyOfWorker.length) {
+		if (worker.ordinal >= this.keyOfWorker.length) {
 			int before = this.keyOfWorker.length;
-			this.keyOfWorker = Arrays.copyOf(this.keyOfWorker, Math.max(worker.order + 1, before * 2));
-			Arrays.fill(this.keyOfWorker, before, this.keyOfWorker.length, NONE);
+			this.keyOfWorker = Arrays.copyOf(this.keyOfWorker, Math.max(worker.ordinal + 1, before * 2));
+			Arrays.fill(this.keyOfWorker, before, this.keyOfWorker.length, NO_KEY);
 		}
-		long before = this.keyOfWorker[worker.order];
-		long after = worker.isAccepting() ? key(this.room.accelerators(worker), this.room.cores(worker), worker.order)
-				: NONE;
+		long before = this.keyOfWorker[worker.ordinal];
+		long after = worker.isAccepting() ? key(this.view.accelerators(worker), this.view.cores(worker), worker.ordinal)
+				: NO_KEY;
 		if (before == after) {
 			return;
 		}
-		if (before != NONE) {
+		if (before != NO_KEY) {
 			this.keys.remove(before);
 		}
-		if (after != NONE) {
+		if (after != NO_KEY) {
 			this.keys.add(after);
 		}
-		this.keyOfWorker[worker.order] = after;
+		this.keyOfWorker[worker.ordinal] = after;
 	}
 
 	/**
@@ -56,27 +56,27 @@
 	 * @param after the key returned before, or -1 for the first
 	 * @return its key, -1 if there is none
 	 */
-	long next(Resources need, long after) {
-		Long key = (after == NONE) ? this.keys.ceiling(key(need.accelerators(), need.cores(), 0))
+	long nextFitting(Resources need, long after) {
+		Long key = (after == NO_KEY) ? this.keys.ceiling(key(need.accelerators(), need.cores(), 0))
 				: this.keys.higher(after);
 		while (key != null) {
-			int cores = (int) ((key >> CORES_SHIFT) & ORDER_MASK);
+			int cores = (int) ((key >> CORES_SHIFT) & ORDINAL_MASK);
 			if (cores >= need.cores()) {
 				return key;
 			}
 			int accelerators = (int) (key >> ACCELERATORS_SHIFT);
 			key = this.keys.ceiling(key(accelerators, need.cores(), 0));
 		}
-		return NONE;
+		return NO_KEY;
 	}
 
-	static int order(long key) {
-		return (int) (key & ORDER_MASK);
+	static int workerOrdinal(long key) {
+		return (int) (key & ORDINAL_MASK);
 	}
 
-	private static long key(int accelerators, int cores, int order) {
+	private static long key(int accelerators, int cores, int ordinal) {
 		return ((long) Math.max(0, accelerators) << ACCELERATORS_SHIFT) | ((long) Math.max(0, cores) << CORES_SHIFT)
-				| order;
+				| ordinal;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerNode.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerNode.java
@@ -21,25 +21,25 @@
 	final RackNode rack;
 
 	/** Its place among all workers, by which ties are broken. */
-	final int order;
+	final int ordinal;
 
-	final Amount used = new Amount();
+	final ResourceSum allocated = new ResourceSum();
 
-	final Amount firm = new Amount();
+	final ResourceSum protectedAllocation = new ResourceSum();
 
-	final Amount reserved = new Amount();
+	final ResourceSum guaranteeReserve = new ResourceSum();
 
 	/** The part of {@code firm} that may not be repeated. */
-	final Amount pinned = new Amount();
+	final ResourceSum pinnedAllocation = new ResourceSum();
 
 	/** The part of {@code reserved} that borrowers have to leave alone for now. */
-	final Amount held = new Amount();
+	final ResourceSum heldReserve = new ResourceSum();
 
 	/** Members that have room here, running or not. */
 	final Set<Member> members = new LinkedHashSet<>();
 
 	/** What it keeps for spots. */
-	final List<Spot.Part> parts = new ArrayList<>(2);
+	final List<GuaranteeReservation.WorkerPortion> portions = new ArrayList<>(2);
 
 	/** Jobs whose own program failed here and that have not failed elsewhere. */
 	final Set<JobState> failedJobs = new LinkedHashSet<>(2);
@@ -56,21 +56,21 @@
 	/** Takes one single task at a time until it has shown that it runs them. */
 	boolean probation;
 
-	/** How much it failed lately, as of {@link #scoreAt}. */
-	double score;
+	/** How much it failed lately, as of {@link #failureScoreAtMillis}. */
+	double failureScore;
 
-	long scoreAt;
+	long failureScoreAtMillis;
 
 	/** How often it was set aside. */
-	int quarantines;
+	int quarantineCount;
 
 	/** The waiting job for which it is kept, null if for none. */
-	Reservation reservation;
+	WaitingJobReservation reservation;
 
-	WorkerNode(WorkerInfo info, RackNode rack, int order) {
+	WorkerNode(WorkerInfo info, RackNode rack, int ordinal) {
 		this.info = info;
 		this.rack = rack;
-		this.order = order;
+		this.ordinal = ordinal;
 	}
 
 	boolean isAccepting() {
@@ -90,16 +90,17 @@
 	 * Whether more is promised than it has, because borrowers still have to leave.
 	 * @return true if so
 	 */
-	boolean isOverbooked() {
-		return Room.FREE.accelerators(this) < 0 || Room.FREE.cores(this) < 0 || Room.FREE.memoryMb(this) < 0;
+	boolean isOverallocated() {
+		return CapacityView.FREE.accelerators(this) < 0 || CapacityView.FREE.cores(this) < 0
+				|| CapacityView.FREE.memoryMb(this) < 0;
 	}
 
 	Resources free() {
-		return new Resources(Math.max(0, Room.FREE.accelerators(this)), Math.max(0, Room.FREE.cores(this)),
-				Math.max(0, Room.FREE.memoryMb(this)));
+		return new Resources(Math.max(0, CapacityView.FREE.accelerators(this)),
+				Math.max(0, CapacityView.FREE.cores(this)), Math.max(0, CapacityView.FREE.memoryMb(this)));
 	}
 
-	String stateWord() {
+	String stateName() {
 		if (this.leaving) {
 			return "leaving";
 		}
@@ -116,19 +117,19 @@
 	/**
 	 * How many tasks of a size fit, from zero.
 	 * @param need what each task needs
-	 * @param room which room counts
+	 * @param view which room counts
 	 * @return the number of tasks
 	 */
-	int slots(Resources need, Room room) {
+	int slots(Resources need, CapacityView view) {
 		int count = Integer.MAX_VALUE;
-		count = Math.min(count, share(room.accelerators(this), need.accelerators()));
-		count = Math.min(count, share(room.cores(this), need.cores()));
-		count = Math.min(count, share(room.memoryMb(this), need.memoryMb()));
+		count = Math.min(count, slotsInDimension(view.accelerators(this), need.accelerators()));
+		count = Math.min(count, slotsInDimension(view.cores(this), need.cores()));
+		count = Math.min(count, slotsInDimension(view.memoryMb(this), need.memoryMb()));
 		return Math.max(0, count);
 	}
 
-	private static int share(int room, int need) {
-		return (need != 0) ? room / need : Integer.MAX_VALUE;
+	private static int slotsInDimension(int available, int need) {
+		return (need != 0) ? available / need : Integer.MAX_VALUE;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -24,9 +24,9 @@
 
 	private final GangRunner runner;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeAllocator ledger;
 
-	ZoneDrain(Desk desk, Fleet fleet, GangRunner runner, GuaranteeLedger ledger) {
+	ZoneDrain(Desk desk, Fleet fleet, GangRunner runner, GuaranteeAllocator ledger) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.runner = runner;
@@ -41,9 +41,9 @@
 				continue;
 			}
 			zone.accepting = accepting;
-			zone.changes++;
-			workers(zone).forEach(this.fleet::changed);
-			workers(zone).forEach(accepting ? this.ledger::workerOpened : this.ledger::workerClosed);
+			zone.stateChangeCount++;
+			workers(zone).forEach(this.fleet::markChanged);
+			workers(zone).forEach(accepting ? this.ledger::onWorkerAvailable : this.ledger::onWorkerUnavailable);
 			if (!accepting) {
 				takeOut(zone);
 			}
@@ -55,23 +55,23 @@
 	 * @param worker the worker
 	 */
 	void drainWorker(WorkerNode worker) {
-		this.ledger.workerClosed(worker);
+		this.ledger.onWorkerUnavailable(worker);
 		giveUpStarting(gangs(List.of(worker)));
 		suspendCheckpointing(gangs(List.of(worker)), "worker " + worker.info.id() + " is leaving");
 	}
 
 	private void takeOut(ZoneNode zone) {
-		int change = zone.changes;
+		int change = zone.stateChangeCount;
 		giveUpStarting(gangs(workers(zone)));
 		String why = "zone " + zone.id + " is out of service";
 		long settled = this.desk.now + this.desk.policy.timeouts().zoneSettle().toMillis();
 		this.desk.timers.at(settled, () -> {
-			if (zone.changes == change) {
+			if (zone.stateChangeCount == change) {
 				suspendCheckpointing(gangs(workers(zone)), why);
 			}
 		});
 		this.desk.timers.at(this.desk.now + grace(), () -> {
-			if (zone.changes == change) {
+			if (zone.stateChangeCount == change) {
 				stopRest(gangs(workers(zone)), why);
 			}
 		});
@@ -107,7 +107,7 @@
 
 	private long grace() {
 		String option = this.desk.configuration.options().get("zone-grace");
-		return SpanOption.parse(option).orElse(this.desk.policy.timeouts().zoneGrace()).toMillis();
+		return DurationOption.parse(option).orElse(this.desk.policy.timeouts().zoneGrace()).toMillis();
 	}
 
 	private static List<WorkerNode> workers(ZoneNode zone) {
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneNode.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneNode.java
@@ -13,17 +13,17 @@
 	final ZoneId id;
 
 	/** Its place among all zones. */
-	final int order;
+	final int ordinal;
 
 	final List<RackNode> racks = new ArrayList<>();
 
 	boolean accepting = true;
 
 	/** Counts the changes of state, so that a timer of an earlier change is stale. */
-	int changes;
+	int stateChangeCount;
 
-	ZoneNode(ZoneId id, int order) {
-		this.order = order;
+	ZoneNode(ZoneId id, int ordinal) {
+		this.ordinal = ordinal;
 		this.id = id;
 	}
 
--- a/core/src/test/java/org/almondmount/jobs/impl/GangLifecycleTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/GangLifecycleTests.java
@@ -19,84 +19,84 @@
 	private final VirtualFleet fleet = VirtualFleet.of(2, 2, 3);
 
 	@Test
-	void aGangRunsOnAllOfItsMembersAndEnds() {
+	void gangRunsOnAllMembersAndSucceeds() {
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(3, 8, Adjacency.RACK)), 1_000);
 		this.fleet.runFor(200);
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.RUNNING);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 		this.fleet.runFor(2_000);
 		assertThat(this.fleet.endings).containsEntry(job, Ending.SUCCEEDED);
 	}
 
 	@Test
-	void aGangThatFitsNoRackIsRefusedAndTheDimensionIsNamed() {
+	void gangThatFitsNoRackIsRefusedNamingTheDimension() {
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(4, 8, Adjacency.RACK)), 1_000);
 		assertThat(this.fleet.refusals.get(job).reason()).isEqualTo("never-fits");
 		assertThat(this.fleet.refusals.get(job).detail()).contains("members").contains("at most 3");
 	}
 
 	@Test
-	void aLostWorkerRequeuesTheWholeGangUnderANewAttempt() {
+	void lostWorkerRequeuesTheWholeGangUnderANewAttempt() {
 		// One of three workers dies while the gang runs. The caller sees the job wait and
 		// run again: the two other members are told to let go first, then attempt 2 is
 		// placed on healthy workers, because a gang must never run on a part of its
 		// members.
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(3, 8, Adjacency.RACK)), 5_000);
 		this.fleet.runFor(200);
-		this.fleet.lose(this.fleet.scheduler.job(job).orElseThrow().placement().get(1).worker());
+		this.fleet.loseWorker(this.fleet.scheduler.job(job).orElseThrow().placement().get(1).worker());
 		this.fleet.runFor(500);
 		assertThat(this.fleet.scheduler.job(job).orElseThrow().attempt()).isEqualTo(2);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 	}
 
 	@Test
-	void workThatMayNotBeRepeatedIsNotStartedAgainWhenItsWorkerIsLost() {
+	void nonRepeatableJobIsNotRestartedWhenItsWorkerIsLost() {
 		JobId job = this.fleet.submit("a",
-				VirtualFleet.once(VirtualFleet.spec("one", VirtualFleet.gang(1, 1, Adjacency.ANY))), 5_000);
+				VirtualFleet.nonRepeatable(VirtualFleet.spec("one", VirtualFleet.gang(1, 1, Adjacency.ANY))), 5_000);
 		this.fleet.runFor(200);
-		this.fleet.lose(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
+		this.fleet.loseWorker(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
 		this.fleet.runFor(10_000);
 		assertThat(this.fleet.endings).containsEntry(job, Ending.UNKNOWN);
 		assertThat(this.fleet.scheduler.job(job).orElseThrow().attempt()).isEqualTo(1);
 	}
 
 	@Test
-	void nothingStartsInAZoneThatIsOutAndItsWorkMoves() {
+	void gangMovesAwayFromAZoneThatIsOut() {
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(3, 8, Adjacency.RACK)), 60_000);
 		this.fleet.runFor(200);
 		String zone = this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker().value().substring(1, 2);
-		this.fleet.zone("z" + zone, ZoneState.OUT);
+		this.fleet.setZoneState("z" + zone, ZoneState.OUT);
 		this.fleet.runFor(4_000);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 		for (Assignment assignment : this.fleet.scheduler.job(job).orElseThrow().placement()) {
 			assertThat(assignment.worker().value()).doesNotStartWith("w" + zone);
 		}
 	}
 
 	@Test
-	void aZoneThatComesBackWithinTheSettlingTimeMovesNothing() {
+	void zoneThatReturnsWithinTheSettleTimeMovesNoWork() {
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(3, 8, Adjacency.RACK)), 60_000);
 		this.fleet.runFor(200);
 		for (int i = 0; i < 3; i++) {
-			this.fleet.zone("z0", ZoneState.OUT);
-			this.fleet.zone("z1", ZoneState.OUT);
+			this.fleet.setZoneState("z0", ZoneState.OUT);
+			this.fleet.setZoneState("z1", ZoneState.OUT);
 			this.fleet.runFor(700);
-			this.fleet.zone("z0", ZoneState.IN);
-			this.fleet.zone("z1", ZoneState.IN);
+			this.fleet.setZoneState("z0", ZoneState.IN);
+			this.fleet.setZoneState("z1", ZoneState.IN);
 			this.fleet.runFor(100);
 		}
 		this.fleet.runFor(40_000);
 		assertThat(this.fleet.scheduler.job(job).orElseThrow().attempt()).isEqualTo(1);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 	}
 
 	@Test
-	void aMemberThatSucceedsWithoutItsStartBeingHeardCountsAsStarted() {
+	void memberThatSucceedsWithoutAStartReportCountsAsStarted() {
 		// The report that one member runs is lost, its success is not. The other member
 		// goes on past the time allowed for a start; the caller sees one attempt that
 		// succeeds.
 		JobId job = new JobId("a");
-		this.fleet.answering = false;
+		this.fleet.workersRespond = false;
 		this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(2, 1, Adjacency.ANY)), 60_000);
 		this.fleet.runFor(50);
 		Attempt attempt = new Attempt(job, 1);
@@ -111,34 +111,34 @@
 	}
 
 	@Test
-	void aStartThatIsNotAllowedWaitsUntilItIs() {
+	void jobWaitsUntilStartsAreAllowed() {
 		this.fleet.feed(new JobEvent.StartsAllowed(false));
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(1, 1, Adjacency.ANY)), 60_000);
 		this.fleet.runFor(5_000);
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.WAITING);
 		this.fleet.feed(new JobEvent.StartsAllowed(true));
 		this.fleet.runFor(200);
-		assertThat(this.fleet.running(job)).isEqualTo(1);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(1);
 	}
 
 	@Test
-	void membersThatAreNeverHeldGiveTheAttemptUp() {
-		this.fleet.answering = false;
+	void attemptIsAbortedAndRequeuedWhenNoMemberIsPrepared() {
+		this.fleet.workersRespond = false;
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(2, 1, Adjacency.ANY)), 60_000);
 		this.fleet.runFor(3_100);
 		assertThat(this.fleet.commands).filteredOn(JobCommand.Abort.class::isInstance).hasSize(2);
 		assertThat(this.fleet.commands).filteredOn(JobCommand.Requeue.class::isInstance).hasSize(1);
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.WAITING);
-		this.fleet.answering = true;
+		this.fleet.workersRespond = true;
 		this.fleet.runFor(10_000);
-		assertThat(this.fleet.running(job)).isEqualTo(2);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(2);
 	}
 
 	@Test
-	void aReportOfAnOldAttemptChangesNothing() {
+	void reportOfAnOldAttemptIsIgnored() {
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(1, 1, Adjacency.ANY)), 60_000);
 		this.fleet.runFor(200);
-		this.fleet.lose(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
+		this.fleet.loseWorker(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
 		this.fleet.runFor(200);
 		this.fleet.feed(new JobEvent.MemberEnded(new Attempt(job, 1), 0, Ending.SUCCEEDED));
 		assertThat(this.fleet.endings).doesNotContainKey(job);
@@ -146,8 +146,8 @@
 	}
 
 	@Test
-	void aJobThatFailsOnSeveralHealthyWorkersIsGivenUp() {
-		this.fleet.broken.add(new JobId("a"));
+	void jobThatFailsOnSeveralHealthyWorkersEndsAsFailed() {
+		this.fleet.failingJobs.add(new JobId("a"));
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(1, 1, Adjacency.ANY)), 60_000);
 		this.fleet.runFor(60_000);
 		assertThat(this.fleet.endings).containsEntry(job, Ending.FAILED);
@@ -155,7 +155,7 @@
 	}
 
 	@Test
-	void aRecoveredJobRunsOnIfItsWorkersComeBackAndIsRequeuedIfNot() {
+	void recoveredJobKeepsItsAttemptOnAKnownWorkerAndIsRequeuedOtherwise() {
 		GangRecovery.recover(this.fleet, "kept", new WorkerId("w0-0-0"));
 		GangRecovery.recover(this.fleet, "lost", new WorkerId("w9-9-9"));
 		this.fleet.runFor(9_000);
--- a/core/src/test/java/org/almondmount/jobs/impl/GuaranteeTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/GuaranteeTests.java
@@ -22,7 +22,7 @@
 
 	private static final GangShape ONE = VirtualFleet.gang(1, 1, Adjacency.ANY);
 
-	private static final long URGENT_MILLIS = 5_500;
+	private static final long MAX_URGENT_START_MILLIS = 5_500;
 
 	private final VirtualFleet fleet = VirtualFleet.of(2, 2, 3);
 
@@ -33,92 +33,92 @@
 	}
 
 	@Test
-	void theOwnersGangStartsInTimeAlthoughBorrowersHoldEverySpot() {
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(2, RACK_OF_24));
-		borrowEverything();
+	void ownersGangStartsInTimeAlthoughBorrowersOccupyEveryReservation() {
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(2, RACK_OF_24));
+		occupyFleetWithBorrowers();
 		JobId first = this.fleet.submit("g1", VirtualFleet.spec("owner", RACK_OF_24), 60_000);
 		JobId second = this.fleet.submit("g2", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
-		this.fleet.runFor(URGENT_MILLIS);
-		assertThat(this.fleet.running(first)).isEqualTo(3);
-		assertThat(this.fleet.running(second)).isEqualTo(3);
+		this.fleet.runFor(MAX_URGENT_START_MILLIS);
+		assertThat(this.fleet.countStartedTasks(first)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(second)).isEqualTo(3);
 	}
 
 	@Test
-	void aBorrowerThatIgnoresItsCheckpointOrderIsStopped() {
+	void borrowerThatIgnoresTheSuspendCommandIsStopped() {
 		// The borrowers never answer the order to checkpoint. The owner still sees its
 		// gang start in time: they are stopped once the time for a checkpoint is over,
 		// and wait again as a whole.
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(1, RACK_OF_24));
-		this.fleet.ignoringCheckpoint.addAll(borrowEverything());
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
+		this.fleet.jobsIgnoringSuspend.addAll(occupyFleetWithBorrowers());
 		JobId job = this.fleet.submit("g", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
-		this.fleet.runFor(URGENT_MILLIS);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		this.fleet.runFor(MAX_URGENT_START_MILLIS);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 	}
 
 	@Test
-	void workThatMayNotBeRepeatedNeverRunsOnTheSpotsOfOthers() {
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(4, RACK_OF_24));
-		JobSpec once = VirtualFleet.once(VirtualFleet.spec("other", ONE));
+	void nonRepeatableWorkNeverRunsOnReservationsOfOthers() {
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(4, RACK_OF_24));
+		JobSpec once = VirtualFleet.nonRepeatable(VirtualFleet.spec("other", ONE));
 		JobId job = this.fleet.submit("once", once, 60_000);
 		this.fleet.runFor(60_000);
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.WAITING);
 	}
 
 	@Test
-	void aWorkerLostDuringTheReclaimDelaysTheGangButDoesNotSplitIt() {
+	void workerLostDuringReclaimDelaysTheGangButDoesNotSplitIt() {
 		// A worker of the spot dies while its borrowers are checkpointing. The owner's
 		// gang is given up whole, the spot moves to a rack that is whole, and the gang
 		// starts there.
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(1, RACK_OF_24));
-		borrowEverything();
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
+		occupyFleetWithBorrowers();
 		JobId job = this.fleet.submit("g", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
 		this.fleet.runFor(100);
-		this.fleet.lose(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
-		this.fleet.runFor(URGENT_MILLIS);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		this.fleet.loseWorker(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
+		this.fleet.runFor(MAX_URGENT_START_MILLIS);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 	}
 
 	@Test
-	void aZoneTakenOutDuringTheReclaimMovesTheReclaim() {
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(1, RACK_OF_24));
-		borrowEverything();
+	void zoneTakenOutDuringReclaimMovesTheGangToAnotherZone() {
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
+		occupyFleetWithBorrowers();
 		JobId job = this.fleet.submit("g", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
 		this.fleet.runFor(100);
 		WorkerId worker = this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker();
-		this.fleet.zone("z" + worker.value().charAt(1), ZoneState.OUT);
-		this.fleet.runFor(URGENT_MILLIS);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		this.fleet.setZoneState("z" + worker.value().charAt(1), ZoneState.OUT);
+		this.fleet.runFor(MAX_URGENT_START_MILLIS);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 		assertThat(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker().value())
 			.doesNotStartWith(worker.value().substring(0, 2));
 	}
 
 	@Test
-	void urgentWorkGoesBeforeTheOwnersOwnWorkInTheSpot() {
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(1, RACK_OF_24));
-		borrowEverything();
+	void urgentWorkPreemptsTheOwnersOwnWorkInTheReservation() {
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
+		occupyFleetWithBorrowers();
 		JobId normal = this.fleet.submit("n", VirtualFleet.spec("owner", RACK_OF_24), 600_000);
-		this.fleet.runFor(URGENT_MILLIS);
-		assertThat(this.fleet.running(normal)).isEqualTo(3);
+		this.fleet.runFor(MAX_URGENT_START_MILLIS);
+		assertThat(this.fleet.countStartedTasks(normal)).isEqualTo(3);
 		JobId urgent = this.fleet.submit("u", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
-		this.fleet.runFor(URGENT_MILLIS);
-		assertThat(this.fleet.running(urgent)).isEqualTo(3);
-		assertThat(this.fleet.running(normal)).isZero();
+		this.fleet.runFor(MAX_URGENT_START_MILLIS);
+		assertThat(this.fleet.countStartedTasks(urgent)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(normal)).isZero();
 	}
 
 	@Test
-	void borrowersTakeRoomThatNoGuaranteeNeedsFirst() {
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(2, RACK_OF_24));
+	void borrowersUseUnreservedCapacityFirst() {
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(2, RACK_OF_24));
 		for (int i = 0; i < 48; i++) {
 			this.fleet.submit("b" + i, VirtualFleet.spec("other", ONE), 600_000);
 		}
 		this.fleet.runFor(1_000);
 		JobId job = this.fleet.submit("g", VirtualFleet.spec("owner", RACK_OF_24), 60_000);
 		this.fleet.runFor(300);
-		assertThat(this.fleet.running(job)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(job)).isEqualTo(3);
 		assertThat(this.fleet.endings).doesNotContainValue(Ending.UNKNOWN);
 	}
 
-	private List<JobId> borrowEverything() {
+	private List<JobId> occupyFleetWithBorrowers() {
 		List<JobId> borrowers = new ArrayList<>();
 		for (int i = 0; i < 96; i++) {
 			borrowers.add(this.fleet.submit("b" + i, VirtualFleet.spec("other", ONE), 600_000));
--- a/core/src/test/java/org/almondmount/jobs/impl/OrderTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/OrderTests.java
@@ -26,20 +26,20 @@
 	private final VirtualFleet fleet = VirtualFleet.of(2, 2, 3);
 
 	@Test
-	void customersShareByWeight() {
-		this.fleet.guarantee("heavy", 3);
-		this.fleet.guarantee("light", 1);
+	void customersShareCapacityByWeight() {
+		this.fleet.putCustomer("heavy", 3);
+		this.fleet.putCustomer("light", 1);
 		for (int i = 0; i < 200; i++) {
 			this.fleet.submit("l" + i, VirtualFleet.spec("light", ONE), 20_000 + 100 * i);
 			this.fleet.submit("h" + i, VirtualFleet.spec("heavy", ONE), 20_000 + 100 * i);
 		}
 		this.fleet.runFor(60_000);
-		assertThat(heldBy("heavy")).isBetween(68L, 76L);
-		assertThat(heldBy("light")).isBetween(20L, 28L);
+		assertThat(countTasksOf("heavy")).isBetween(68L, 76L);
+		assertThat(countTasksOf("light")).isBetween(20L, 28L);
 	}
 
 	@Test
-	void aGangIsNotStarvedBySmallWorkThatKeepsComing() {
+	void gangIsNotStarvedByAContinuousStreamOfSmallJobs() {
 		// Small jobs of another customer keep every worker busy and never stop coming.
 		// The gang waits until its reservation or its share has room made for it; it
 		// starts within the stated bound although no rack ever falls free by itself.
@@ -48,36 +48,36 @@
 		}
 		this.fleet.runFor(1_000);
 		JobId gang = this.fleet.submit("g", VirtualFleet.spec("large", RACK_OF_24), 30_000);
-		for (int i = 400; i < 1_000 && this.fleet.running(gang) == 0; i++) {
+		for (int i = 400; i < 1_000 && this.fleet.countStartedTasks(gang) == 0; i++) {
 			this.fleet.submit("s" + i, VirtualFleet.spec("small", ONE), 60_000 + 977 * (i % 60));
 			this.fleet.runFor(500);
 		}
-		assertThat(this.fleet.firstRun).containsKey(gang);
-		assertThat(this.fleet.firstRun.get(gang)).isLessThan(120_000);
+		assertThat(this.fleet.firstStartMillis).containsKey(gang);
+		assertThat(this.fleet.firstStartMillis.get(gang)).isLessThan(120_000);
 	}
 
 	@Test
-	void aWaveDelaysNoUrgentStart() {
+	void burstOfSubmissionsAndCancellationsDoesNotDelayAnUrgentStart() {
 		// 10,000 small jobs and 50 gangs arrive together and most are cancelled at once.
 		// An urgent job inside its owner's guarantee still starts within 5.5 s, because
 		// borrowers leave and a cancellation costs no more than its own job.
-		this.fleet.guarantee("owner", 1, new GuaranteedShape(1, RACK_OF_24));
-		List<JobId> wave = new ArrayList<>();
+		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
+		List<JobId> burst = new ArrayList<>();
 		for (int i = 0; i < 10_000; i++) {
-			wave.add(this.fleet.submit("s" + i, VirtualFleet.spec("c" + i % 5, ONE), 600_000));
+			burst.add(this.fleet.submit("s" + i, VirtualFleet.spec("c" + i % 5, ONE), 600_000));
 		}
 		for (int i = 0; i < 50; i++) {
-			wave.add(this.fleet.submit("g" + i, VirtualFleet.spec("c" + i % 5, RACK_OF_24), 600_000));
+			burst.add(this.fleet.submit("g" + i, VirtualFleet.spec("c" + i % 5, RACK_OF_24), 600_000));
 		}
 		this.fleet.runFor(100);
 		JobId urgent = this.fleet.submit("u", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
-		wave.subList(1_000, wave.size()).forEach((job) -> this.fleet.feed(new JobEvent.JobCancelled(job)));
+		burst.subList(1_000, burst.size()).forEach((job) -> this.fleet.feed(new JobEvent.JobCancelled(job)));
 		this.fleet.runFor(5_500);
-		assertThat(this.fleet.running(urgent)).isEqualTo(3);
+		assertThat(this.fleet.countStartedTasks(urgent)).isEqualTo(3);
 	}
 
 	@Test
-	void aCustomerWhoseQueueIsFullIsRefusedWithATimeAndOthersAreNot() {
+	void customerWithAFullQueueIsRefusedAndOthersAreNot() {
 		VirtualFleet small = new VirtualFleet(
 				JobPolicy.DEFAULT.withLimits(JobLimits.DEFAULT.withWaitingPerCustomer(5)));
 		small.addWorkers(1, 1, 1);
@@ -90,22 +90,22 @@
 	}
 
 	@Test
-	void aWorkerThatFailsEverythingIsSetAsideAndComesBackOnProbation() {
-		WorkerId bad = new WorkerId("w0-0-0");
-		this.fleet.failing.add(bad);
+	void workerThatFailsEveryTaskIsQuarantinedAndRecoversAfterProbation() {
+		WorkerId faulty = new WorkerId("w0-0-0");
+		this.fleet.failingWorkers.add(faulty);
 		for (int i = 0; i < 300; i++) {
 			this.fleet.submit("j" + i, VirtualFleet.spec("one", ONE), 5_000);
 		}
 		this.fleet.runFor(10_000);
-		assertThat(stateOf(bad)).isEqualTo("quarantined");
-		this.fleet.failing.clear();
+		assertThat(stateOf(faulty)).isEqualTo("quarantined");
+		this.fleet.failingWorkers.clear();
 		this.fleet.runFor(600_000);
-		assertThat(stateOf(bad)).isEqualTo("up");
+		assertThat(stateOf(faulty)).isEqualTo("up");
 		assertThat(this.fleet.endings).hasSize(300);
 	}
 
 	@Test
-	void everyWaitingJobSaysWhy() {
+	void waitingJobExplainsWhyItWaits() {
 		this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(12, 8, Adjacency.ANY)), 600_000);
 		this.fleet.runFor(500);
 		JobId waiting = this.fleet.submit("b", VirtualFleet.spec("two", RACK_OF_24), 600_000);
@@ -115,7 +115,7 @@
 			.anyMatch((line) -> line.contains("were submitted before it"));
 	}
 
-	private long heldBy(String customer) {
+	private long countTasksOf(String customer) {
 		return this.fleet.tasks.values()
 			.stream()
 			.map((running) -> running.spec)
--- a/core/src/test/java/org/almondmount/jobs/impl/PlanPreviewTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/PlanPreviewTests.java
@@ -21,16 +21,18 @@
 	private final VirtualFleet fleet = VirtualFleet.of(2, 2, 3);
 
 	@Test
-	void guaranteesThatFitAllAtOnceAreAccepted() {
-		PlanEffects effects = put("one", new GuaranteedShape(4, VirtualFleet.gang(3, 8, Adjacency.RACK)));
+	void guaranteesThatFitTogetherAreAccepted() {
+		PlanEffects effects = previewPutCustomer("one",
+				new GuaranteedShape(4, VirtualFleet.gang(3, 8, Adjacency.RACK)));
 		assertThat(effects.refusal()).isEmpty();
 		assertThat(effects.remarks()).isNotEmpty();
 	}
 
 	@Test
-	void aShapeThatDoesNotFitIsNamedWithTheLargestThatWould() {
-		this.fleet.guarantee("other", 1, new GuaranteedShape(4, VirtualFleet.gang(1, 8, Adjacency.WORKER)));
-		PlanEffects effects = put("one", new GuaranteedShape(4, VirtualFleet.gang(3, 8, Adjacency.RACK)));
+	void shapeThatDoesNotFitIsReportedWithTheLargestThatWould() {
+		this.fleet.putCustomer("other", 1, new GuaranteedShape(4, VirtualFleet.gang(1, 8, Adjacency.WORKER)));
+		PlanEffects effects = previewPutCustomer("one",
+				new GuaranteedShape(4, VirtualFleet.gang(3, 8, Adjacency.RACK)));
 		assertThat(effects.refusal()).isPresent();
 		assertThat(effects.refusal().get().reason()).isEqualTo(RefusalReason.GUARANTEE_DOES_NOT_FIT);
 		assertThat(effects.refusal().get().detail()).contains("customer one: ", "of 4 gangs fit", "gang of 3 members",
@@ -38,18 +40,18 @@
 	}
 
 	@Test
-	void aCustomerMayGiveUpGuaranteesWhileAZoneIsOut() {
+	void customerMayReduceGuaranteesWhileAZoneIsOut() {
 		GuaranteedShape two = new GuaranteedShape(2, VirtualFleet.gang(3, 8, Adjacency.RACK));
-		this.fleet.guarantee("one", 1, two);
-		this.fleet.guarantee("other", 1, two);
-		this.fleet.zone("z0", ZoneState.OUT);
-		assertThat(put("one", two, new GuaranteedShape(1, two.shape())).refusal()).isPresent();
-		assertThat(put("one", new GuaranteedShape(1, two.shape())).refusal()).isEmpty();
+		this.fleet.putCustomer("one", 1, two);
+		this.fleet.putCustomer("other", 1, two);
+		this.fleet.setZoneState("z0", ZoneState.OUT);
+		assertThat(previewPutCustomer("one", two, new GuaranteedShape(1, two.shape())).refusal()).isPresent();
+		assertThat(previewPutCustomer("one", new GuaranteedShape(1, two.shape())).refusal()).isEmpty();
 	}
 
 	@Test
-	void aZoneOutPlanNamesMovesStopsAndGuaranteesAtRisk() {
-		this.fleet.guarantee("one", 1, new GuaranteedShape(3, VirtualFleet.gang(3, 8, Adjacency.RACK)));
+	void zoneOutPlanListsMovesStopsAndGuaranteesAtRisk() {
+		this.fleet.putCustomer("one", 1, new GuaranteedShape(3, VirtualFleet.gang(3, 8, Adjacency.RACK)));
 		JobId first = this.fleet.submit("a", VirtualFleet.spec("two", VirtualFleet.gang(6, 8, Adjacency.ZONE)),
 				600_000);
 		JobId second = this.fleet.submit("b", VirtualFleet.spec("two", VirtualFleet.gang(6, 8, Adjacency.ZONE)),
@@ -60,10 +62,10 @@
 		assertThat(effects.moves()).isEmpty();
 		assertThat(effects.stops()).hasSize(1).isSubsetOf(List.of(first, second));
 		assertThat(effects.guaranteesAtRisk()).hasSize(1);
-		assertThat(this.fleet.running(first) + this.fleet.running(second)).isEqualTo(12);
+		assertThat(this.fleet.countStartedTasks(first) + this.fleet.countStartedTasks(second)).isEqualTo(12);
 	}
 
-	private PlanEffects put(String name, GuaranteedShape... shapes) {
+	private PlanEffects previewPutCustomer(String name, GuaranteedShape... shapes) {
 		return this.fleet.scheduler.preview(this.fleet.now,
 				new Intent.PutCustomer(new Customer(new CustomerId(name), 1, List.of(shapes))));
 	}
--- a/core/src/test/java/org/almondmount/jobs/impl/RandomHistoryTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/RandomHistoryTests.java
@@ -39,72 +39,72 @@
 
 	private List<JobId> jobs;
 
-	private List<WorkerInfo> gone;
+	private List<WorkerInfo> lostWorkers;
 
 	@Property(tries = 80, seed = "4711", shrinking = ShrinkingMode.OFF)
-	void guaranteesHoldGangsStayWholeAndEveryJobEnds(@ForAll long seed) {
-		begin(seed);
+	void guaranteesHoldGangsStayCompleteAndEveryJobEnds(@ForAll long seed) {
+		setUpFleet(seed);
 		for (int step = 0; step < STEPS; step++) {
-			act(step);
+			applyRandomAction(step);
 			this.fleet.runFor(this.random.nextInt(800));
 		}
-		heal();
-		for (int i = 0; i < 200 && this.fleet.endings.size() < accepted(); i++) {
+		restoreFleet();
+		for (int i = 0; i < 200 && this.fleet.endings.size() < countAcceptedJobs(); i++) {
 			this.fleet.runFor(60_000);
 		}
-		assertThat(unfinished()).isEmpty();
+		assertThat(describeUnfinishedJobs()).isEmpty();
 		assertThat(this.fleet.tasks).isEmpty();
-		new ReclaimChecker(this.fleet).everyGuaranteeHasASpot();
+		new ReclaimChecker(this.fleet).assertEveryGuaranteeIsPlaced();
 	}
 
-	private void begin(long seed) {
+	private void setUpFleet(long seed) {
 		this.random = new Random(seed);
 		this.jobs = new ArrayList<>();
-		this.gone = new ArrayList<>();
+		this.lostWorkers = new ArrayList<>();
 		this.fleet = VirtualFleet.of(3, 2, 3);
-		this.fleet.guarantee("c0", 2, new GuaranteedShape(1, SHAPES.get(4)));
-		this.fleet.guarantee("c1", 1, new GuaranteedShape(2, SHAPES.get(7)), new GuaranteedShape(1, SHAPES.get(3)));
+		this.fleet.putCustomer("c0", 2, new GuaranteedShape(1, SHAPES.get(4)));
+		this.fleet.putCustomer("c1", 1, new GuaranteedShape(2, SHAPES.get(7)), new GuaranteedShape(1, SHAPES.get(3)));
 		ReclaimChecker checker = new ReclaimChecker(this.fleet);
 		this.fleet.afterEvent = (fleet) -> checker.check();
 	}
 
-	private void act(int step) {
+	private void applyRandomAction(int step) {
 		int kind = this.random.nextInt(20);
 		switch (kind) {
 			case 0 -> loseWorker();
 			case 1, 2 -> rejoinWorker();
-			case 3 -> this.fleet.zone("z" + this.random.nextInt(3), ZoneState.OUT);
-			case 4, 5 -> this.fleet.zone("z" + this.random.nextInt(3), ZoneState.IN);
-			case 6 -> cancel();
+			case 3 -> this.fleet.setZoneState("z" + this.random.nextInt(3), ZoneState.OUT);
+			case 4, 5 -> this.fleet.setZoneState("z" + this.random.nextInt(3), ZoneState.IN);
+			case 6 -> cancelRandomJob();
 			case 7 -> this.fleet.feed(new JobEvent.StartsAllowed(this.random.nextInt(3) > 0));
-			case 8 -> leave();
-			case 9 -> this.fleet.failing.add(new WorkerId("w0-0-" + this.random.nextInt(3)));
-			case 10 -> this.fleet.failing.clear();
-			default -> submit("j" + step);
+			case 8 -> drainAndLoseWorker();
+			case 9 -> this.fleet.failingWorkers.add(new WorkerId("w0-0-" + this.random.nextInt(3)));
+			case 10 -> this.fleet.failingWorkers.clear();
+			default -> submitRandomJob("j" + step);
 		}
 	}
 
-	private void submit(String name) {
+	private void submitRandomJob(String name) {
 		JobSpec spec = VirtualFleet.spec("c" + this.random.nextInt(4), SHAPES.get(this.random.nextInt(SHAPES.size())));
 		int kind = this.random.nextInt(6);
 		if (kind == 0) {
-			spec = VirtualFleet.once(spec);
+			spec = VirtualFleet.nonRepeatable(spec);
 		}
 		else if (kind == 1) {
 			spec = VirtualFleet.urgent(spec);
 		}
 		JobId job = new JobId(name);
 		if (this.random.nextInt(10) == 0) {
-			this.fleet.ignoringCheckpoint.add(job);
+			this.fleet.jobsIgnoringSuspend.add(job);
 		}
 		if (this.random.nextInt(20) == 0) {
-			this.fleet.broken.add(job);
+			this.fleet.failingJobs.add(job);
 		}
 		this.jobs.add(job);
 		this.fleet.submit(name, spec, 500 + this.random.nextInt(30_000));
 	}
 
-	private void cancel() {
+	private void cancelRandomJob() {
 		if (!this.jobs.isEmpty()) {
 			this.fleet.feed(new JobEvent.JobCancelled(this.jobs.get(this.random.nextInt(this.jobs.size()))));
 		}
@@ -112,26 +112,26 @@
 
 	private void loseWorker() {
 		WorkerInfo info = anyWorker();
-		if (info != null && this.gone.size() < 4) {
-			this.gone.add(info);
-			this.fleet.lose(info.id());
+		if (info != null && this.lostWorkers.size() < 4) {
+			this.lostWorkers.add(info);
+			this.fleet.loseWorker(info.id());
 		}
 	}
 
 	private void rejoinWorker() {
-		if (!this.gone.isEmpty()) {
-			this.fleet.rejoin(this.gone.remove(0));
+		if (!this.lostWorkers.isEmpty()) {
+			this.fleet.rejoinWorker(this.lostWorkers.remove(0));
 		}
 	}
 
-	private void leave() {
+	private void drainAndLoseWorker() {
 		WorkerInfo info = anyWorker();
-		if (info != null && this.gone.size() < 4) {
+		if (info != null && this.lostWorkers.size() < 4) {
 			WorkerId id = info.id();
 			this.fleet.feed(new JobEvent.WorkerLeaving(id));
 			this.fleet.runFor(this.random.nextInt(2_000));
-			this.gone.add(info);
-			this.fleet.lose(id);
+			this.lostWorkers.add(info);
+			this.fleet.loseWorker(id);
 		}
 	}
 
@@ -139,27 +139,27 @@
 		List<WorkerInfo> workers = this.fleet.scheduler.workers()
 			.stream()
 			.map((view) -> view.worker())
-			.filter((worker) -> !this.fleet.gone.contains(worker.id()))
+			.filter((worker) -> !this.fleet.lostWorkers.contains(worker.id()))
 			.toList();
 		return workers.isEmpty() ? null : workers.get(this.random.nextInt(workers.size()));
 	}
 
-	private void heal() {
-		this.fleet.failing.clear();
-		while (!this.gone.isEmpty()) {
+	private void restoreFleet() {
+		this.fleet.failingWorkers.clear();
+		while (!this.lostWorkers.isEmpty()) {
 			rejoinWorker();
 		}
 		for (int zone = 0; zone < 3; zone++) {
-			this.fleet.zone("z" + zone, ZoneState.IN);
+			this.fleet.setZoneState("z" + zone, ZoneState.IN);
 		}
 		this.fleet.feed(new JobEvent.StartsAllowed(true));
 	}
 
-	private int accepted() {
+	private int countAcceptedJobs() {
 		return this.jobs.size() - this.fleet.refusals.size();
 	}
 
-	private List<String> unfinished() {
+	private List<String> describeUnfinishedJobs() {
 		List<String> unfinished = new ArrayList<>();
 		for (JobView view : this.fleet.scheduler.jobs()) {
 			if (view.phase() != JobView.Phase.ENDED) {
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -30,33 +30,33 @@
 	}
 
 	void check() {
-		noWorkerIsOverCapacity();
-		everyTaskBelongsToItsJobsPlacement();
-		spotsCanAllBeReclaimedAtOnce();
+		assertNoWorkerExceedsItsCapacity();
+		assertAtMostOneAttemptOfAJobIsStarted();
+		assertAllReservationsCanBeReclaimedTogether();
 	}
 
-	void everyGuaranteeHasASpot() {
+	void assertEveryGuaranteeIsPlaced() {
 		for (Customer customer : this.fleet.configuration.customers().values()) {
 			for (GuaranteedShape guarantee : customer.guarantees()) {
 				long placed = this.fleet.scheduler.ledger()
-					.spots(customer.id())
+					.reservations(customer.id())
 					.stream()
-					.filter((spot) -> spot.shape.equals(guarantee.shape()) && spot.isPlaced())
+					.filter((reservation) -> reservation.shape.equals(guarantee.shape()) && reservation.isPlaced())
 					.count();
 				assertThat(placed).as("spots of %s at %s", customer.id(), this.fleet.now).isEqualTo(guarantee.gangs());
 			}
 		}
 	}
 
-	private void noWorkerIsOverCapacity() {
+	private void assertNoWorkerExceedsItsCapacity() {
 		Map<WorkerId, Resources> held = new HashMap<>();
 		this.fleet.tasks
 			.forEach((task, running) -> held.merge(running.worker, running.spec.shape().perMember(), Resources::plus));
-		held.forEach(
-				(worker, sum) -> assertThat(sum.fitsIn(VirtualFleet.WORKER)).as("%s holds %s", worker, sum).isTrue());
+		held.forEach((worker,
+				sum) -> assertThat(sum.fitsIn(VirtualFleet.WORKER_CAPACITY)).as("%s holds %s", worker, sum).isTrue());
 	}
 
-	private void everyTaskBelongsToItsJobsPlacement() {
+	private void assertAtMostOneAttemptOfAJobIsStarted() {
 		Map<JobId, Integer> startedAttempt = new HashMap<>();
 		this.fleet.tasks.forEach((task, running) -> {
 			if (running.started) {
@@ -71,39 +71,40 @@
 		});
 	}
 
-	private void spotsCanAllBeReclaimedAtOnce() {
+	private void assertAllReservationsCanBeReclaimedTogether() {
 		Map<WorkerId, Resources> claimed = new HashMap<>();
-		Set<JobId> inside = new HashSet<>();
-		for (Spot spot : this.fleet.scheduler.ledger().all()) {
-			if (spot.isPlaced()) {
-				addSpot(spot, claimed, inside);
+		Set<JobId> jobsInReservations = new HashSet<>();
+		for (GuaranteeReservation reservation : this.fleet.scheduler.ledger().allReservations()) {
+			if (reservation.isPlaced()) {
+				addReservation(reservation, claimed, jobsInReservations);
 			}
 		}
 		for (JobView view : this.fleet.scheduler.jobs()) {
-			boolean stays = !view.spec().repeatable() && !inside.contains(view.job());
+			boolean stays = !view.spec().repeatable() && !jobsInReservations.contains(view.job());
 			for (Assignment assignment : view.placement()) {
-				if (stays && this.fleet.holds(view, assignment)) {
+				if (stays && this.fleet.holdsMember(view, assignment)) {
 					claimed.merge(assignment.worker(), view.spec().shape().perMember(), Resources::plus);
 				}
 			}
 		}
-		claimed.forEach((worker, sum) -> assertThat(sum.fitsIn(VirtualFleet.WORKER))
+		claimed.forEach((worker, sum) -> assertThat(sum.fitsIn(VirtualFleet.WORKER_CAPACITY))
 			.as("%s: spots and work that stays need %s at %s", worker, sum, this.fleet.now)
 			.isTrue());
 	}
 
-	private void addSpot(Spot spot, Map<WorkerId, Resources> claimed, Set<JobId> inside) {
-		assertThat(spot.places()).hasSize(spot.shape.members());
-		WorkerInfo first = spot.places().get(0).info;
-		for (WorkerNode worker : spot.places()) {
-			assertThat(spot.shape.adjacency().joins(first, worker.info)).isTrue();
+	private void addReservation(GuaranteeReservation reservation, Map<WorkerId, Resources> claimed,
+			Set<JobId> jobsInReservations) {
+		assertThat(reservation.memberWorkers()).hasSize(reservation.shape.members());
+		WorkerInfo first = reservation.memberWorkers().get(0).info;
+		for (WorkerNode worker : reservation.memberWorkers()) {
+			assertThat(reservation.shape.adjacency().joins(first, worker.info)).isTrue();
 			assertThat(this.fleet.configuration.zone(worker.info.zone()).acceptsWork()).isTrue();
-			assertThat(this.fleet.gone).doesNotContain(worker.info.id());
-			claimed.merge(worker.info.id(), spot.shape.perMember(), Resources::plus);
+			assertThat(this.fleet.lostWorkers).doesNotContain(worker.info.id());
+			claimed.merge(worker.info.id(), reservation.shape.perMember(), Resources::plus);
 		}
 		Map<WorkerId, Resources> used = new HashMap<>();
-		for (Gang gang : spot.users) {
-			inside.add(gang.job.id);
+		for (Gang gang : reservation.ownerGangs) {
+			jobsInReservations.add(gang.job.id);
 			for (Member member : gang.members) {
 				if (member.booked) {
 					used.merge(member.workerId, gang.job.spec.shape().perMember(), Resources::plus);
@@ -111,8 +112,11 @@
 			}
 		}
 		used.forEach((worker, sum) -> {
-			long members = spot.places().stream().filter((place) -> place.info.id().equals(worker)).count();
-			assertThat(sum.fitsIn(spot.shape.perMember().times((int) members))).as("use of a spot on %s", worker)
+			long members = reservation.memberWorkers()
+				.stream()
+				.filter((place) -> place.info.id().equals(worker))
+				.count();
+			assertThat(sum.fitsIn(reservation.shape.perMember().times((int) members))).as("use of a spot on %s", worker)
 				.isTrue();
 		});
 	}
--- a/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
@@ -41,7 +41,7 @@
  */
 final class VirtualFleet {
 
-	static final Resources WORKER = new Resources(8, 32, 131_072);
+	static final Resources WORKER_CAPACITY = new Resources(8, 32, 131_072);
 
 	final DefaultJobScheduler scheduler;
 
@@ -51,24 +51,24 @@
 
 	final Map<JobId, Refused> refusals = new LinkedHashMap<>();
 
-	final Map<Task, Running> tasks = new LinkedHashMap<>();
+	final Map<Task, TaskState> tasks = new LinkedHashMap<>();
 
 	final Map<JobId, JobSpec> specs = new HashMap<>();
 
-	final Set<WorkerId> gone = new HashSet<>();
+	final Set<WorkerId> lostWorkers = new HashSet<>();
 
 	/** Workers that fail whatever they start. */
-	final Set<WorkerId> failing = new HashSet<>();
+	final Set<WorkerId> failingWorkers = new HashSet<>();
 
 	/** Jobs whose program fails. */
-	final Set<JobId> broken = new HashSet<>();
+	final Set<JobId> failingJobs = new HashSet<>();
 
 	/** Jobs that do not answer when told to checkpoint. */
-	final Set<JobId> ignoringCheckpoint = new HashSet<>();
+	final Set<JobId> jobsIgnoringSuspend = new HashSet<>();
 
-	final Map<JobId, Long> runTimes = new HashMap<>();
+	final Map<JobId, Long> runMillis = new HashMap<>();
 
-	final Map<JobId, Long> firstRun = new HashMap<>();
+	final Map<JobId, Long> firstStartMillis = new HashMap<>();
 
 	Consumer<VirtualFleet> afterEvent = (fleet) -> {
 	};
@@ -77,10 +77,10 @@
 
 	long now;
 
-	boolean answering = true;
+	boolean workersRespond = true;
 
-	private final PriorityQueue<Due> queue = new PriorityQueue<>(
-			Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+	private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
+			Comparator.comparingLong(ScheduledAction::atMillis).thenComparingLong(ScheduledAction::order));
 
 	private long order;
 
@@ -100,7 +100,7 @@
 				for (int worker = 0; worker < workers; worker++) {
 					String name = "w" + zone + "-" + rack + "-" + worker;
 					feed(new JobEvent.WorkerJoined(new WorkerInfo(new WorkerId(name), new ZoneId("z" + zone),
-							new RackId("r" + rack), WORKER)));
+							new RackId("r" + rack), WORKER_CAPACITY)));
 				}
 			}
 		}
@@ -120,7 +120,7 @@
 				spec.declaredRunTime(), spec.checkpointEvery(), spec.program());
 	}
 
-	static JobSpec once(JobSpec spec) {
+	static JobSpec nonRepeatable(JobSpec spec) {
 		return new JobSpec(spec.customer(), spec.jobClass(), spec.shape(), spec.urgency(), false,
 				spec.declaredRunTime(), Duration.ZERO, spec.program());
 	}
@@ -128,16 +128,16 @@
 	JobId submit(String id, JobSpec spec, long runMillis) {
 		JobId job = new JobId(id);
 		this.specs.put(job, spec);
-		this.runTimes.put(job, runMillis);
+		this.runMillis.put(job, runMillis);
 		feed(new JobEvent.JobSubmitted(job, spec));
 		return job;
 	}
 
-	void guarantee(String customer, double weight, GuaranteedShape... shapes) {
+	void putCustomer(String customer, double weight, GuaranteedShape... shapes) {
 		configure(this.configuration.withCustomer(new Customer(new CustomerId(customer), weight, List.of(shapes))));
 	}
 
-	void zone(String zone, ZoneState state) {
+	void setZoneState(String zone, ZoneState state) {
 		configure(this.configuration.withZone(new ZoneId(zone), state));
 	}
 
@@ -146,30 +146,30 @@
 		feed(new JobEvent.ConfigurationChanged(this.configuration));
 	}
 
-	void lose(WorkerId worker) {
-		this.gone.add(worker);
+	void loseWorker(WorkerId worker) {
+		this.lostWorkers.add(worker);
 		this.tasks.values().removeIf((task) -> task.worker.equals(worker));
 		feed(new JobEvent.WorkerLost(worker));
 	}
 
-	void rejoin(WorkerInfo worker) {
-		this.gone.remove(worker.id());
+	void rejoinWorker(WorkerInfo worker) {
+		this.lostWorkers.remove(worker.id());
 		feed(new JobEvent.WorkerJoined(worker));
 	}
 
 	void feed(JobEvent event) {
 		for (JobCommand command : this.scheduler.handle(this.now, event)) {
 			this.commands.add(command);
-			carryOut(command);
+			execute(command);
 		}
 		this.afterEvent.accept(this);
 	}
 
 	void runFor(long millis) {
 		long end = this.now + millis;
-		while (!this.queue.isEmpty() && this.queue.peek().at <= end) {
-			Due due = this.queue.poll();
-			this.now = Math.max(this.now, due.at);
+		while (!this.scheduledActions.isEmpty() && this.scheduledActions.peek().atMillis <= end) {
+			ScheduledAction due = this.scheduledActions.poll();
+			this.now = Math.max(this.now, due.atMillis);
 			due.action.run();
 		}
 		this.now = end;
@@ -179,31 +179,31 @@
 		return this.scheduler.job(job).map(JobView::phase).orElse(null);
 	}
 
-	long running(JobId job) {
+	long countStartedTasks(JobId job) {
 		return this.tasks.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().attempt.job().equals(job) && entry.getValue().started)
 			.count();
 	}
 
-	boolean holds(JobView view, Assignment assignment) {
+	boolean holdsMember(JobView view, Assignment assignment) {
 		return this.tasks.containsKey(new Task(new Attempt(view.job(), view.attempt()), assignment.member()));
 	}
 
-	private void later(long millis, Runnable action) {
+	private void schedule(long millis, Runnable action) {
 		this.order++;
-		this.queue.add(new Due(this.now + millis, this.order, action));
+		this.scheduledActions.add(new ScheduledAction(this.now + millis, this.order, action));
 	}
 
-	private void report(long millis, WorkerId worker, JobEvent event) {
-		later(millis, () -> {
-			if (!this.gone.contains(worker)) {
+	private void scheduleReport(long millis, WorkerId worker, JobEvent event) {
+		schedule(millis, () -> {
+			if (!this.lostWorkers.contains(worker)) {
 				feed(event);
 			}
 		});
 	}
 
-	private void carryOut(JobCommand command) {
+	private void execute(JobCommand command) {
 		if (command instanceof JobCommand.Refuse refuse) {
 			this.refusals.put(refuse.job(), new Refused(refuse.refusal().reason().word(), refuse.refusal().detail()));
 		}
@@ -211,60 +211,60 @@
 			this.endings.put(finish.job(), finish.ending());
 		}
 		else if (command instanceof JobCommand.WakeAt wake) {
-			later(Math.max(0, wake.atMillis() - this.now), () -> feed(new JobEvent.TimePassed()));
+			schedule(Math.max(0, wake.atMillis() - this.now), () -> feed(new JobEvent.TimePassed()));
 		}
 		else if (command instanceof JobCommand.CommitPlacement commit) {
-			later(20, () -> feed(new JobEvent.PlacementCommitted(commit.attempt())));
+			schedule(20, () -> feed(new JobEvent.PlacementCommitted(commit.attempt())));
 		}
-		else if (this.answering) {
-			member(command);
+		else if (this.workersRespond) {
+			executeOnWorker(command);
 		}
 	}
 
-	private void member(JobCommand command) {
-		if (command instanceof JobCommand.Prepare prepare && !this.gone.contains(prepare.worker())) {
+	private void executeOnWorker(JobCommand command) {
+		if (command instanceof JobCommand.Prepare prepare && !this.lostWorkers.contains(prepare.worker())) {
 			Task task = new Task(prepare.attempt(), prepare.member());
-			this.tasks.put(task, new Running(prepare.worker(), prepare.spec()));
-			report(5, prepare.worker(), new JobEvent.MemberPrepared(prepare.attempt(), prepare.member()));
+			this.tasks.put(task, new TaskState(prepare.worker(), prepare.spec()));
+			scheduleReport(5, prepare.worker(), new JobEvent.MemberPrepared(prepare.attempt(), prepare.member()));
 		}
 		else if (command instanceof JobCommand.Start start) {
 			start(new Task(start.attempt(), start.member()));
 		}
 		else if (command instanceof JobCommand.Suspend suspend) {
-			if (!this.ignoringCheckpoint.contains(suspend.attempt().job())) {
-				later(500, () -> end(new Task(suspend.attempt(), suspend.member()), Ending.SUSPENDED));
+			if (!this.jobsIgnoringSuspend.contains(suspend.attempt().job())) {
+				schedule(500, () -> end(new Task(suspend.attempt(), suspend.member()), Ending.SUSPENDED));
 			}
 		}
 		else if (command instanceof JobCommand.Stop stop) {
-			later(5, () -> end(new Task(stop.attempt(), stop.member()), Ending.STOPPED));
+			schedule(5, () -> end(new Task(stop.attempt(), stop.member()), Ending.STOPPED));
 		}
 		else if (command instanceof JobCommand.Abort abort) {
-			later(5, () -> abort(new Task(abort.attempt(), abort.member()), abort.worker()));
+			schedule(5, () -> abort(new Task(abort.attempt(), abort.member()), abort.worker()));
 		}
 	}
 
 	private void start(Task task) {
-		Running running = this.tasks.get(task);
+		TaskState running = this.tasks.get(task);
 		if (running == null) {
 			return;
 		}
 		running.started = true;
 		JobId job = task.attempt.job();
-		this.firstRun.putIfAbsent(job, this.now);
-		report(5, running.worker, new JobEvent.MemberStarted(task.attempt, task.member));
-		if (this.failing.contains(running.worker)) {
-			later(50, () -> end(task, Ending.WORKER_FAILED));
+		this.firstStartMillis.putIfAbsent(job, this.now);
+		scheduleReport(5, running.worker, new JobEvent.MemberStarted(task.attempt, task.member));
+		if (this.failingWorkers.contains(running.worker)) {
+			schedule(50, () -> end(task, Ending.WORKER_FAILED));
 		}
-		else if (this.broken.contains(job)) {
-			later(50, () -> end(task, Ending.FAILED));
+		else if (this.failingJobs.contains(job)) {
+			schedule(50, () -> end(task, Ending.FAILED));
 		}
 		else {
-			later(this.runTimes.getOrDefault(job, 60_000L), () -> end(task, Ending.SUCCEEDED));
+			schedule(this.runMillis.getOrDefault(job, 60_000L), () -> end(task, Ending.SUCCEEDED));
 		}
 	}
 
 	private void abort(Task task, WorkerId worker) {
-		if (this.gone.contains(worker)) {
+		if (this.lostWorkers.contains(worker)) {
 			return;
 		}
 		if (this.tasks.containsKey(task)) {
@@ -275,7 +275,7 @@
 	}
 
 	private void end(Task task, Ending ending) {
-		Running running = this.tasks.remove(task);
+		TaskState running = this.tasks.remove(task);
 		if (running != null) {
 			feed(new JobEvent.MemberEnded(task.attempt, task.member, ending));
 		}
@@ -289,14 +289,14 @@
 
 	}
 
-	private record Due(long at, long order, Runnable action) {
+	private record ScheduledAction(long atMillis, long order, Runnable action) {
 
 	}
 
 	/**
 	 * A member that a worker holds or runs.
 	 */
-	static final class Running {
+	static final class TaskState {
 
 		final WorkerId worker;
 
@@ -304,7 +304,7 @@
 
 		boolean started;
 
-		Running(WorkerId worker, JobSpec spec) {
+		TaskState(WorkerId worker, JobSpec spec) {
 			this.worker = worker;
 			this.spec = spec;
 		}
