--- a/bench/src/main/java/org/almondmount/bench/baseline/BaselineScheduler.java
+++ b/bench/src/main/java/org/almondmount/bench/baseline/BaselineScheduler.java
@@ -13,9 +13,9 @@
 
 import org.almondmount.jobs.Assignment;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
 import org.almondmount.jobs.JobEvent;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobScheduler;
 import org.almondmount.jobs.JobView;
 import org.almondmount.jobs.WorkerView;
@@ -119,10 +119,11 @@
 			current(prepared.attempt()).ifPresent((job) -> prepared(job, prepared.member(), commands));
 		}
 		else if (event instanceof JobEvent.MemberRefused refused) {
-			current(refused.attempt()).ifPresent((job) -> memberOver(job, refused.member(), Ending.STOPPED, commands));
+			current(refused.attempt())
+				.ifPresent((job) -> memberOver(job, refused.member(), JobOutcome.STOPPED, commands));
 		}
 		else if (event instanceof JobEvent.MemberEnded ended) {
-			current(ended.attempt()).ifPresent((job) -> memberOver(job, ended.member(), ended.ending(), commands));
+			current(ended.attempt()).ifPresent((job) -> memberOver(job, ended.member(), ended.outcome(), commands));
 		}
 		else if (event instanceof JobEvent.MemberCheckpointed checkpointed) {
 			current(checkpointed.attempt()).ifPresent((job) -> job.checkpoint = true);
@@ -166,7 +167,7 @@
 		}
 		job.cancelled = true;
 		if (this.waiting.remove(job)) {
-			finish(job, Ending.CANCELLED, commands);
+			finish(job, JobOutcome.CANCELLED, commands);
 		}
 		else if (!job.stopping) {
 			stopMembers(job, false, commands);
@@ -178,7 +179,7 @@
 		for (BaselineJob job : new ArrayList<>(this.running.values())) {
 			for (Assignment member : job.placement) {
 				if (member.worker().equals(worker) && !job.gone.contains(member.member())) {
-					memberOver(job, member.member(), Ending.UNKNOWN, commands);
+					memberOver(job, member.member(), JobOutcome.UNKNOWN, commands);
 				}
 			}
 		}
@@ -205,15 +206,15 @@
 		}
 	}
 
-	private void memberOver(BaselineJob job, int member, Ending ending, List<JobCommand> commands) {
+	private void memberOver(BaselineJob job, int member, JobOutcome ending, List<JobCommand> commands) {
 		if (!job.gone.add(member)) {
 			return;
 		}
 		this.fleet.give(job.placement.get(member).worker(), job.spec.shape().perMember());
 		this.changed = true;
-		job.succeeded &= ending == Ending.SUCCEEDED;
-		job.failed |= ending == Ending.FAILED || ending == Ending.WORKER_FAILED;
-		if (ending != Ending.SUCCEEDED && !job.stopping) {
+		job.succeeded &= ending == JobOutcome.SUCCEEDED;
+		job.failed |= ending == JobOutcome.FAILED || ending == JobOutcome.WORKER_FAILED;
+		if (ending != JobOutcome.SUCCEEDED && !job.stopping) {
 			stopMembers(job, false, commands);
 		}
 		if (job.gone.size() == job.placement.size()) {
@@ -225,16 +226,16 @@
 		this.running.remove(job.id);
 		job.failures += job.failed ? 1 : 0;
 		if (job.succeeded) {
-			finish(job, Ending.SUCCEEDED, commands);
+			finish(job, JobOutcome.SUCCEEDED, commands);
 		}
 		else if (job.cancelled) {
-			finish(job, Ending.CANCELLED, commands);
+			finish(job, JobOutcome.CANCELLED, commands);
 		}
 		else if (job.failures >= MOST_FAILURES) {
-			finish(job, Ending.FAILED, commands);
+			finish(job, JobOutcome.FAILED, commands);
 		}
 		else if (job.started && !job.spec.repeatable() && !job.checkpoint) {
-			finish(job, Ending.UNKNOWN, commands);
+			finish(job, JobOutcome.UNKNOWN, commands);
 		}
 		else {
 			commands.add(new JobCommand.Requeue(job.attempt, "the attempt is over"));
@@ -263,7 +264,7 @@
 		}
 	}
 
-	private void finish(BaselineJob job, Ending ending, List<JobCommand> commands) {
+	private void finish(BaselineJob job, JobOutcome ending, List<JobCommand> commands) {
 		int lastAttempt = (job.attempt != null) ? job.attempt.number() : 0;
 		commands.add(new JobCommand.Finish(job.id, lastAttempt, ending, ending.name()));
 		this.jobs.remove(job.id);
--- a/bench/src/main/java/org/almondmount/bench/cost/SteadyFleet.java
+++ b/bench/src/main/java/org/almondmount/bench/cost/SteadyFleet.java
@@ -14,9 +14,9 @@
 import org.almondmount.bench.workload.PlannedJob;
 import org.almondmount.bench.workload.Workload;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
 import org.almondmount.jobs.JobEvent;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobScheduler;
 import org.almondmount.jobs.JobSchedulerFactory;
 import org.almondmount.model.Adjacency;
@@ -102,7 +102,7 @@
 			return this.queue.poll();
 		}
 		if (this.idleEvents % REPORTS_FOR_EACH_END == 1) {
-			return new JobEvent.TimePassed();
+			return new JobEvent.Tick();
 		}
 		return report();
 	}
@@ -184,17 +184,17 @@
 			this.queue.add(new JobEvent.MemberStarted(start.attempt(), start.member()));
 		}
 		else if (command instanceof JobCommand.Suspend suspend) {
-			stop(suspend.attempt(), suspend.member(), Ending.SUSPENDED);
+			stop(suspend.attempt(), suspend.member(), JobOutcome.SUSPENDED);
 		}
 		else if (command instanceof JobCommand.Stop stop) {
-			stop(stop.attempt(), stop.member(), Ending.STOPPED);
+			stop(stop.attempt(), stop.member(), JobOutcome.STOPPED);
 		}
 		else if (command instanceof JobCommand.Abort abort) {
-			stop(abort.attempt(), abort.member(), Ending.STOPPED);
+			stop(abort.attempt(), abort.member(), JobOutcome.STOPPED);
 		}
 	}
 
-	private void stop(Attempt attempt, int member, Ending ending) {
+	private void stop(Attempt attempt, int member, JobOutcome ending) {
 		forget(attempt);
 		this.queue.add(new JobEvent.MemberEnded(attempt, member, ending));
 	}
@@ -232,14 +232,14 @@
 		Map.Entry<Attempt, Integer> gang = oldest.next();
 		forget(gang.getKey());
 		for (int member = 0; member < gang.getValue(); member++) {
-			this.queue.add(new JobEvent.MemberEnded(gang.getKey(), member, Ending.SUCCEEDED));
+			this.queue.add(new JobEvent.MemberEnded(gang.getKey(), member, JobOutcome.SUCCEEDED));
 		}
 	}
 
 	private JobEvent report() {
 		Iterator<Map.Entry<Attempt, Integer>> oldest = this.running.entrySet().iterator();
 		if (!oldest.hasNext()) {
-			return new JobEvent.TimePassed();
+			return new JobEvent.Tick();
 		}
 		Map.Entry<Attempt, Integer> gang = oldest.next();
 		int member = this.random.nextInt(gang.getValue());
--- a/bench/src/main/java/org/almondmount/bench/measure/Outcomes.java
+++ b/bench/src/main/java/org/almondmount/bench/measure/Outcomes.java
@@ -3,7 +3,7 @@
 import org.almondmount.bench.replay.AttemptRecord;
 import org.almondmount.bench.replay.JobRecord;
 import org.almondmount.bench.replay.ReplayRecord;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 
 /**
  * Counts of what became of jobs and gangs.
@@ -27,8 +27,8 @@
 	static int unfinished(ReplayRecord record) {
 		int count = 0;
 		for (JobRecord job : record.jobs()) {
-			boolean lost = !job.planned().spec().repeatable() && job.ending() == Ending.UNKNOWN;
-			if (job.planned().completes() && !job.refused() && !lost && job.ending() != Ending.SUCCEEDED) {
+			boolean lost = !job.planned().spec().repeatable() && job.ending() == JobOutcome.UNKNOWN;
+			if (job.planned().completes() && !job.refused() && !lost && job.ending() != JobOutcome.SUCCEEDED) {
 				count++;
 			}
 		}
@@ -54,7 +54,7 @@
 		int interrupted = 0;
 		int finished = 0;
 		for (JobRecord job : record.jobs()) {
-			if (job.ending() != Ending.SUCCEEDED) {
+			if (job.ending() != JobOutcome.SUCCEEDED) {
 				continue;
 			}
 			finished++;
--- a/bench/src/main/java/org/almondmount/bench/replay/GangRun.java
+++ b/bench/src/main/java/org/almondmount/bench/replay/GangRun.java
@@ -1,7 +1,7 @@
 package org.almondmount.bench.replay;
 
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Resources;
 
 /**
@@ -104,7 +104,7 @@
 	// The whole of the work was done, or its program failed.
 	void finish(long now) {
 		this.record.stopped(now);
-		if (this.job.planned().ending() == Ending.SUCCEEDED) {
+		if (this.job.planned().ending() == JobOutcome.SUCCEEDED) {
 			this.job.save(this.job.planned().trueRunMillis());
 		}
 	}
--- a/bench/src/main/java/org/almondmount/bench/replay/JobRecord.java
+++ b/bench/src/main/java/org/almondmount/bench/replay/JobRecord.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 import org.almondmount.bench.workload.PlannedJob;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 
 /**
  * What became of one job. Mutable while the replay runs, then read only.
@@ -17,7 +17,7 @@
 
 	private boolean refused;
 
-	private Ending ending;
+	private JobOutcome ending;
 
 	private long endedAt = AttemptRecord.UNSET;
 
@@ -49,7 +49,7 @@
 	 * The final ending, null while there is none.
 	 * @return the ending or null
 	 */
-	public Ending ending() {
+	public JobOutcome ending() {
 		return this.ending;
 	}
 
@@ -79,7 +79,7 @@
 		this.endedAt = at;
 	}
 
-	public void end(long at, Ending how) {
+	public void end(long at, JobOutcome how) {
 		this.ending = how;
 		this.endedAt = at;
 		for (AttemptRecord attempt : this.attempts) {
--- a/bench/src/main/java/org/almondmount/bench/replay/JobReplay.java
+++ b/bench/src/main/java/org/almondmount/bench/replay/JobReplay.java
@@ -102,7 +102,7 @@
 	}
 
 	private void tick() {
-		tell(new JobEvent.TimePassed());
+		tell(new JobEvent.Tick());
 		this.agenda.after(TICK, this::tick);
 	}
 
@@ -158,7 +158,7 @@
 	private void finish(JobCommand.Finish finish) {
 		JobRecord record = this.jobs.get(finish.job()).record();
 		if (record.endedAt() == AttemptRecord.UNSET) {
-			record.end(this.agenda.now(), finish.ending());
+			record.end(this.agenda.now(), finish.outcome());
 			this.open--;
 		}
 	}
@@ -175,7 +175,7 @@
 		if (this.nextWake == time) {
 			this.nextWake = Long.MAX_VALUE;
 		}
-		tell(new JobEvent.TimePassed());
+		tell(new JobEvent.Tick());
 	}
 
 }
--- a/bench/src/main/java/org/almondmount/bench/replay/WorkerSide.java
+++ b/bench/src/main/java/org/almondmount/bench/replay/WorkerSide.java
@@ -7,9 +7,9 @@
 
 import org.almondmount.jobs.Assignment;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
 import org.almondmount.jobs.JobEvent;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Resources;
 import org.almondmount.model.WorkerId;
 import org.almondmount.model.WorkerInfo;
@@ -212,7 +212,7 @@
 	private void failOnBadWorker(MemberRun member) {
 		if (member.state() == MemberRun.State.RUNNING) {
 			member.gang().stop(this.agenda.now());
-			end(member, Ending.WORKER_FAILED);
+			end(member, JobOutcome.WORKER_FAILED);
 		}
 	}
 
@@ -222,7 +222,7 @@
 		}
 		member.gang().stop(this.agenda.now());
 		member.state(MemberRun.State.LEAVING);
-		this.agenda.after(this.delays.stop(), () -> endIfLeaving(member, Ending.STOPPED));
+		this.agenda.after(this.delays.stop(), () -> endIfLeaving(member, JobOutcome.STOPPED));
 	}
 
 	private void suspend(MemberRun member) {
@@ -244,7 +244,7 @@
 			GangRun gang = member.gang();
 			gang.memberCheckpointed();
 			report(member, new JobEvent.MemberCheckpointed(gang.attempt(), member.number()));
-			end(member, Ending.SUSPENDED);
+			end(member, JobOutcome.SUSPENDED);
 		}
 	}
 
@@ -252,11 +252,11 @@
 		return switch (member.state()) {
 			case AWAY -> {
 				member.state(MemberRun.State.GONE);
-				report(member, new JobEvent.MemberEnded(member.gang().attempt(), member.number(), Ending.STOPPED));
+				report(member, new JobEvent.MemberEnded(member.gang().attempt(), member.number(), JobOutcome.STOPPED));
 				yield true;
 			}
 			case HELD -> {
-				end(member, Ending.STOPPED);
+				end(member, JobOutcome.STOPPED);
 				yield true;
 			}
 			case LEAVING, GONE -> true;
@@ -264,13 +264,13 @@
 		};
 	}
 
-	private void endIfLeaving(MemberRun member, Ending ending) {
+	private void endIfLeaving(MemberRun member, JobOutcome ending) {
 		if (member.state() == MemberRun.State.LEAVING) {
 			end(member, ending);
 		}
 	}
 
-	private void end(MemberRun member, Ending ending) {
+	private void end(MemberRun member, JobOutcome ending) {
 		member.release(this.agenda.now());
 		report(member, new JobEvent.MemberEnded(member.gang().attempt(), member.number(), ending));
 	}
--- a/bench/src/main/java/org/almondmount/bench/workload/JobMaker.java
+++ b/bench/src/main/java/org/almondmount/bench/workload/JobMaker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.CustomerId;
 import org.almondmount.model.GangShape;
@@ -72,7 +72,7 @@
 
 		private boolean possible = true;
 
-		private Ending ending = Ending.SUCCEEDED;
+		private JobOutcome ending = JobOutcome.SUCCEEDED;
 
 		private long cancelAt = PlannedJob.NEVER;
 
@@ -109,7 +109,7 @@
 		}
 
 		Builder failing() {
-			this.ending = Ending.FAILED;
+			this.ending = JobOutcome.FAILED;
 			return this;
 		}
 
--- a/bench/src/main/java/org/almondmount/bench/workload/PlannedJob.java
+++ b/bench/src/main/java/org/almondmount/bench/workload/PlannedJob.java
@@ -1,6 +1,6 @@
 package org.almondmount.bench.workload;
 
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobId;
 import org.almondmount.model.JobSpec;
 
@@ -11,12 +11,12 @@
  * @param submitAt when it is submitted, in virtual milliseconds
  * @param spec what its customer declares
  * @param trueRunMillis how long the whole gang has to run, without interruptions
- * @param ending {@link Ending#SUCCEEDED}, or {@link Ending#FAILED} for a job whose
- * program fails wherever it runs
+ * @param ending {@link JobOutcome#SUCCEEDED}, or {@link JobOutcome#FAILED} for a job
+ * whose program fails wherever it runs
  * @param possible whether an empty fleet could run it
  * @param cancelAt when its customer cancels it, or {@link #NEVER}
  */
-public record PlannedJob(JobId id, long submitAt, JobSpec spec, long trueRunMillis, Ending ending, boolean possible,
+public record PlannedJob(JobId id, long submitAt, JobSpec spec, long trueRunMillis, JobOutcome ending, boolean possible,
 		long cancelAt) {
 
 	/** A time that no replay reaches. */
@@ -35,7 +35,7 @@
 	 * @return true for a job that is possible, succeeds and is not cancelled
 	 */
 	public boolean completes() {
-		return this.possible && this.ending == Ending.SUCCEEDED && this.cancelAt == NEVER;
+		return this.possible && this.ending == JobOutcome.SUCCEEDED && this.cancelAt == NEVER;
 	}
 
 	/**
--- a/bench/src/test/java/org/almondmount/bench/measure/MeasuresTests.java
+++ b/bench/src/test/java/org/almondmount/bench/measure/MeasuresTests.java
@@ -6,7 +6,7 @@
 import org.almondmount.bench.replay.JobRecord;
 import org.almondmount.bench.replay.ReplayRecord;
 import org.almondmount.bench.workload.FleetChange;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.GuaranteedShape;
 import org.almondmount.model.Urgency;
@@ -114,7 +114,7 @@
 		JobRecord job = this.records.job(Records.ALPHA, Records.gang(1, 4, Adjacency.WORKER), 0, 900);
 		Records.attempt(job, 0, 350, Records.ONE).lost(50);
 		Records.run(job, 400, Records.ONE);
-		job.end(1_300, Ending.SUCCEEDED);
+		job.end(1_300, JobOutcome.SUCCEEDED);
 
 		assertThat(figure(1_300, Measure.LOST_INTERVALS)).isEqualTo(0.5, within(EXACT));
 		assertThat(figure(1_300, Measure.LOST_SHARE)).isEqualTo(100.0 * 50 / 950, within(EXACT));
--- a/bench/src/test/java/org/almondmount/bench/measure/Records.java
+++ b/bench/src/test/java/org/almondmount/bench/measure/Records.java
@@ -11,7 +11,7 @@
 import org.almondmount.bench.workload.FleetChange;
 import org.almondmount.bench.workload.PlannedJob;
 import org.almondmount.bench.workload.Workload;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.Configuration;
 import org.almondmount.model.Customer;
@@ -67,7 +67,7 @@
 		JobSpec spec = new JobSpec(customer, "any", shape, urgency, true, Duration.ofMillis(run),
 				Duration.ofMillis(100), "run");
 		JobRecord job = new JobRecord(new PlannedJob(new JobId("job-" + this.jobs.size()), submitAt, spec, run,
-				Ending.SUCCEEDED, true, PlannedJob.NEVER));
+				JobOutcome.SUCCEEDED, true, PlannedJob.NEVER));
 		this.jobs.add(job);
 		return job;
 	}
@@ -93,7 +93,7 @@
 	static void run(JobRecord job, long from, WorkerId... workers) {
 		long to = from + job.planned().trueRunMillis();
 		attempt(job, from, to, workers);
-		job.end(to, Ending.SUCCEEDED);
+		job.end(to, JobOutcome.SUCCEEDED);
 	}
 
 	ReplayRecord endingAt(long endMillis) {
--- a/bench/src/test/java/org/almondmount/bench/replay/JobReplayTests.java
+++ b/bench/src/test/java/org/almondmount/bench/replay/JobReplayTests.java
@@ -11,7 +11,7 @@
 import org.almondmount.bench.workload.PlannedJob;
 import org.almondmount.bench.workload.RenderMix;
 import org.almondmount.bench.workload.Workload;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -46,7 +46,7 @@
 
 		for (JobRecord job : record.jobs()) {
 			PlannedJob planned = job.planned();
-			if (planned.completes() && job.ending() == Ending.SUCCEEDED) {
+			if (planned.completes() && job.ending() == JobOutcome.SUCCEEDED) {
 				assertThat(worked(job)).as(planned.id().value()).isEqualTo(planned.trueRunMillis());
 			}
 		}
--- a/core/src/main/java/org/almondmount/gang/MemberCommand.java
+++ b/core/src/main/java/org/almondmount/gang/MemberCommand.java
@@ -1,7 +1,7 @@
 package org.almondmount.gang;
 
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobSpec;
 import org.almondmount.model.Resources;
 
@@ -50,7 +50,7 @@
 	/**
 	 * Report: over. Repeated until an entry acknowledges it by forgetting the attempt.
 	 */
-	record ReportEnded(Attempt attempt, int member, Ending ending) implements MemberCommand {
+	record ReportEnded(Attempt attempt, int member, JobOutcome ending) implements MemberCommand {
 	}
 
 	/** Report: usage. */
--- a/core/src/main/java/org/almondmount/gang/MemberEvent.java
+++ b/core/src/main/java/org/almondmount/gang/MemberEvent.java
@@ -1,7 +1,7 @@
 package org.almondmount.gang;
 
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobSpec;
 import org.almondmount.model.Resources;
 import org.almondmount.model.ZoneState;
@@ -56,7 +56,7 @@
 	}
 
 	/** The worker reports the end of the task. */
-	record TaskEnded(Attempt attempt, int member, Ending ending) implements MemberEvent {
+	record TaskEnded(Attempt attempt, int member, JobOutcome ending) implements MemberEvent {
 	}
 
 	/** The worker reports what the task used a while ago. */
--- a/core/src/main/java/org/almondmount/gang/impl/DefaultMemberKeeper.java
+++ b/core/src/main/java/org/almondmount/gang/impl/DefaultMemberKeeper.java
@@ -13,7 +13,7 @@
 import org.almondmount.gang.MemberPolicy;
 import org.almondmount.gang.impl.MemberRecord.Phase;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobSpec;
 import org.almondmount.model.Resources;
 
@@ -378,7 +378,7 @@
 			case STOPPING -> {
 				// The worker says nothing of it, and its lease ran out long ago without a
 				// renewal.
-				member.end(now, Ending.UNKNOWN);
+				member.end(now, JobOutcome.UNKNOWN);
 				report(now, member);
 			}
 			case ENDED -> {
--- a/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
@@ -4,7 +4,7 @@
 
 import org.almondmount.gang.HeldMember;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobSpec;
 
 /**
@@ -22,7 +22,7 @@
 
 	private Phase phase;
 
-	private Ending ending;
+	private JobOutcome ending;
 
 	private long deadline;
 
@@ -106,11 +106,11 @@
 		this.reportAt = at;
 	}
 
-	Ending ending() {
+	JobOutcome ending() {
 		return this.ending;
 	}
 
-	void end(long now, Ending how) {
+	void end(long now, JobOutcome how) {
 		this.ending = how;
 		enter(now, Phase.ENDED, Long.MAX_VALUE);
 	}
@@ -135,7 +135,8 @@
 		if (this.spec.isEmpty()) {
 			return Optional.empty();
 		}
-		boolean running = this.phase == Phase.RUNNING || (this.phase == Phase.ENDED && this.ending == Ending.SUCCEEDED);
+		boolean running = this.phase == Phase.RUNNING
+				|| (this.phase == Phase.ENDED && this.ending == JobOutcome.SUCCEEDED);
 		if (!running && this.phase != Phase.HELD && this.phase != Phase.STARTING) {
 			return Optional.empty();
 		}
--- a/core/src/main/java/org/almondmount/jobs/JobCommand.java
+++ b/core/src/main/java/org/almondmount/jobs/JobCommand.java
@@ -41,7 +41,7 @@
 	record Abort(Attempt attempt, int member, WorkerId worker) implements JobCommand {
 	}
 
-	/** Take a checkpoint, then end as {@link Ending#SUSPENDED}. */
+	/** Take a checkpoint, then end as {@link JobOutcome#SUSPENDED}. */
 	record Suspend(Attempt attempt, int member, WorkerId worker) implements JobCommand {
 	}
 
@@ -54,19 +54,19 @@
 	}
 
 	/** The job waits again: the attempt is over and counts for nothing. */
-	record Requeue(Attempt attempt, String why) implements JobCommand {
+	record Requeue(Attempt attempt, String reason) implements JobCommand {
 	}
 
 	/** The job has its final ending: make it last, then tell whoever waits. */
-	record Finish(JobId job, int lastAttempt, Ending ending, String why) implements JobCommand {
+	record Finish(JobId job, int lastAttempt, JobOutcome outcome, String reason) implements JobCommand {
 	}
 
-	/** Send {@link JobEvent.TimePassed} at this time at the latest. */
+	/** Send {@link JobEvent.Tick} at this time at the latest. */
 	record WakeAt(long atMillis) implements JobCommand {
 	}
 
 	/** Something that an operator should be able to read in the history. */
-	record Explain(String subject, String what) implements JobCommand {
+	record LogDecision(String subject, String message) implements JobCommand {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/JobEvent.java
+++ b/core/src/main/java/org/almondmount/jobs/JobEvent.java
@@ -65,7 +65,7 @@
 	}
 
 	/** A worker will not hold the member; nothing of it ran. */
-	record MemberRefused(Attempt attempt, int member, String why) implements JobEvent {
+	record MemberRefused(Attempt attempt, int member, String reason) implements JobEvent {
 	}
 
 	/** A member's task runs. */
@@ -77,7 +77,7 @@
 	}
 
 	/** A member's task is over. */
-	record MemberEnded(Attempt attempt, int member, Ending ending) implements JobEvent {
+	record MemberEnded(Attempt attempt, int member, JobOutcome outcome) implements JobEvent {
 	}
 
 	/** What a member really uses, some seconds ago. */
@@ -85,7 +85,7 @@
 	}
 
 	/** The moment asked for by {@link JobCommand.WakeAt}, or any regular tick. */
-	record TimePassed() implements JobEvent {
+	record Tick() implements JobEvent {
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/jobs/JobLimits.java
+++ b/core/src/main/java/org/almondmount/jobs/JobLimits.java
@@ -14,10 +14,10 @@
  * is given up
  * @param agingAfter how long a job waits before it goes first
  * @param reservationAfter how long a gang waits before a place is kept for it
- * @param movedAgainAfter how long a job is left alone after it was preempted or moved
+ * @param preemptionCooldown how long a job is left alone after it was preempted or moved
  */
 public record JobLimits(int waitingPerCustomer, int waiting, int endedKept, int healthyWorkersTried,
-		Duration agingAfter, Duration reservationAfter, Duration movedAgainAfter) {
+		Duration agingAfter, Duration reservationAfter, Duration preemptionCooldown) {
 
 	/** What is used unless something else is asked for. */
 	public static final JobLimits DEFAULT = new JobLimits(20_000, 200_000, 5_000, 3, Duration.ofMinutes(10),
@@ -32,12 +32,12 @@
 
 	public JobLimits withWaitingPerCustomer(int count) {
 		return new JobLimits(count, this.waiting, this.endedKept, this.healthyWorkersTried, this.agingAfter,
-				this.reservationAfter, this.movedAgainAfter);
+				this.reservationAfter, this.preemptionCooldown);
 	}
 
 	public JobLimits withEndedKept(int count) {
 		return new JobLimits(this.waitingPerCustomer, this.waiting, count, this.healthyWorkersTried, this.agingAfter,
-				this.reservationAfter, this.movedAgainAfter);
+				this.reservationAfter, this.preemptionCooldown);
 	}
 
 	private static void requirePositive(String field, int count) {
--- a/core/src/main/java/org/almondmount/jobs/Ending.java
+++ b/core/src/main/java/org/almondmount/jobs/JobOutcome.java
@@ -3,7 +3,7 @@
 /**
  * How a member's task, or a whole job, came to its end.
  */
-public enum Ending {
+public enum JobOutcome {
 
 	/** It ran to its end. */
 	SUCCEEDED,
--- a/core/src/main/java/org/almondmount/jobs/JobPolicy.java
+++ b/core/src/main/java/org/almondmount/jobs/JobPolicy.java
@@ -21,7 +21,7 @@
 		features = Set.copyOf(features);
 	}
 
-	public boolean has(JobFeature feature) {
+	public boolean isEnabled(JobFeature feature) {
 		return this.features.contains(feature);
 	}
 
@@ -38,12 +38,12 @@
 		return new JobPolicy(changed, this.timeouts, this.limits);
 	}
 
-	public JobPolicy withTimeouts(JobTimeouts changed) {
-		return new JobPolicy(this.features, changed, this.limits);
+	public JobPolicy withTimeouts(JobTimeouts timeouts) {
+		return new JobPolicy(this.features, timeouts, this.limits);
 	}
 
-	public JobPolicy withLimits(JobLimits changed) {
-		return new JobPolicy(this.features, this.timeouts, changed);
+	public JobPolicy withLimits(JobLimits limits) {
+		return new JobPolicy(this.features, this.timeouts, limits);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/JobTimeouts.java
+++ b/core/src/main/java/org/almondmount/jobs/JobTimeouts.java
@@ -41,19 +41,19 @@
 		requirePositive("retryPause", retryPause);
 	}
 
-	public JobTimeouts withCheckpoint(Duration time) {
-		return new JobTimeouts(this.commit, this.prepare, this.start, this.abort, time, this.rejoin, this.zoneSettle,
+	public JobTimeouts withCheckpoint(Duration timeout) {
+		return new JobTimeouts(this.commit, this.prepare, this.start, this.abort, timeout, this.rejoin, this.zoneSettle,
 				this.zoneGrace, this.retryPause);
 	}
 
-	public JobTimeouts withZoneSettle(Duration time) {
-		return new JobTimeouts(this.commit, this.prepare, this.start, this.abort, this.checkpoint, this.rejoin, time,
+	public JobTimeouts withZoneSettle(Duration delay) {
+		return new JobTimeouts(this.commit, this.prepare, this.start, this.abort, this.checkpoint, this.rejoin, delay,
 				this.zoneGrace, this.retryPause);
 	}
 
-	private static void requirePositive(String field, Duration time) {
-		if (time.isNegative() || time.isZero()) {
-			throw new InvalidValueException(field, "is " + time + "; give a time above zero");
+	private static void requirePositive(String field, Duration duration) {
+		if (duration.isNegative() || duration.isZero()) {
+			throw new InvalidValueException(field, "is " + duration + "; give a time above zero");
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/JobView.java
+++ b/core/src/main/java/org/almondmount/jobs/JobView.java
@@ -13,10 +13,10 @@
  * @param phase where it stands
  * @param attempt the current or last attempt, 0 before the first
  * @param placement the members' workers, empty while it waits
- * @param why a sentence that explains the phase
+ * @param explanation a sentence that explains the phase
  * @param sinceMillis when the phase began, in the driver's time
  */
-public record JobView(JobId job, JobSpec spec, Phase phase, int attempt, List<Assignment> placement, String why,
+public record JobView(JobId job, JobSpec spec, Phase phase, int attempt, List<Assignment> placement, String explanation,
 		long sinceMillis) {
 
 	/**
--- a/core/src/main/java/org/almondmount/jobs/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Admission.java
@@ -15,16 +15,16 @@
  */
 final class Admission {
 
-	private static final Duration COME_BACK = Duration.ofSeconds(10);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(10);
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
 	private final WaitingJobs waiting;
 
-	Admission(Desk desk, Fleet fleet, WaitingJobs waiting) {
-		this.desk = desk;
+	Admission(SchedulerContext context, Fleet fleet, WaitingJobs waiting) {
+		this.context = context;
 		this.fleet = fleet;
 		this.waiting = waiting;
 	}
@@ -35,22 +35,22 @@
 	 * @return the refusal
 	 */
 	Optional<Refusal> refusal(JobSpec spec) {
-		int mine = this.waiting.customer(spec.customer()).waiting;
-		int limit = this.desk.policy.limits().waitingPerCustomer();
-		if (mine >= limit) {
+		int waitingOfCustomer = this.waiting.customer(spec.customer()).waitingCount;
+		int limit = this.context.policy.limits().waitingPerCustomer();
+		if (waitingOfCustomer >= limit) {
 			return Optional.of(
 					Refusal
 						.notRun(RefusalReason.CUSTOMER_LIMIT,
-								"customer " + spec.customer() + " has " + mine + " waiting jobs of " + limit
-										+ " allowed")
-						.withRetryAfter(COME_BACK));
+								"customer " + spec.customer() + " has " + waitingOfCustomer + " waiting jobs of "
+										+ limit + " allowed")
+						.withRetryAfter(RETRY_AFTER));
 		}
-		if (this.waiting.waiting() >= this.desk.policy.limits().waiting()) {
-			return Optional
-				.of(Refusal.notRun(RefusalReason.QUEUE_FULL, this.waiting.waiting() + " jobs of all customers wait")
-					.withRetryAfter(COME_BACK));
+		if (this.waiting.waitingCount() >= this.context.policy.limits().waiting()) {
+			return Optional.of(Refusal
+				.notRun(RefusalReason.QUEUE_FULL, this.waiting.waitingCount() + " jobs of all customers wait")
+				.withRetryAfter(RETRY_AFTER));
 		}
-		return neverFits(spec.shape()).map((why) -> Refusal.notRun(RefusalReason.NEVER_FITS, why));
+		return neverFitsDetail(spec.shape()).map((detail) -> Refusal.notRun(RefusalReason.NEVER_FITS, detail));
 	}
 
 	/**
@@ -59,7 +59,7 @@
 	 * @param shape the gang
 	 * @return the result
 	 */
-	private Optional<String> neverFits(GangShape shape) {
+	private Optional<String> neverFitsDetail(GangShape shape) {
 		Capacities capacities = this.fleet.capacities();
 		if (capacities.isEmpty()) {
 			return Optional.empty();
@@ -69,12 +69,12 @@
 		if (dimension.isPresent()) {
 			return dimension;
 		}
-		int most = capacities.mostMembers(shape);
-		if (most >= shape.members()) {
+		int maxMembers = capacities.mostMembers(shape);
+		if (maxMembers >= shape.members()) {
 			return Optional.empty();
 		}
 		return Optional.of("members: " + shape.members() + " with adjacency " + shape.adjacency()
-				+ " are asked for, at most " + most + " fit together into the empty fleet");
+				+ " are asked for, at most " + maxMembers + " fit together into the empty fleet");
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/CustomerQueue.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/CustomerQueue.java
@@ -10,7 +10,7 @@
  */
 final class CustomerQueue {
 
-	private static final double MEAN_MILLIS = 600_000;
+	private static final double SHARE_AVERAGING_MILLIS = 600_000;
 
 	final CustomerId id;
 
@@ -21,15 +21,18 @@
 
 	double weight = 1;
 
-	int waiting;
+	int waitingCount;
 
 	/** Counts the changes of what it has and of its spots. */
-	long changes;
+	long changeCount;
 
-	/** The weighted mean of its share over the last minutes, as of {@link #averageAt}. */
-	private double average;
+	/**
+	 * The weighted mean of its share over the last minutes, as of
+	 * {@link #averageShareAt}.
+	 */
+	private double averageShare;
 
-	private long averageAt;
+	private long averageShareAt;
 
 	CustomerQueue(CustomerId id) {
 		this.id = id;
@@ -38,11 +41,11 @@
 	/**
 	 * Its mean share over the last minutes.
 	 * @param now the time in milliseconds
-	 * @param share its share since the last call of {@link #shareChanges}
+	 * @param share its share since the last call of {@link #updateAverageShare}
 	 * @return the mean
 	 */
-	double average(long now, double share) {
-		return share + (this.average - share) * Math.exp(-(now - this.averageAt) / MEAN_MILLIS);
+	double averageShare(long now, double share) {
+		return share + (this.averageShare - share) * Math.exp(-(now - this.averageShareAt) / SHARE_AVERAGING_MILLIS);
 	}
 
 	/**
@@ -50,19 +53,19 @@
 	 * @param now the time in milliseconds
 	 * @param share its share until now
 	 */
-	void shareChanges(long now, double share) {
-		this.average = average(now, share);
-		this.averageAt = now;
+	void updateAverageShare(long now, double share) {
+		this.averageShare = averageShare(now, share);
+		this.averageShareAt = now;
 	}
 
 	/**
 	 * The place in the order of submission of its first waiting job.
 	 * @return the order, {@link Long#MAX_VALUE} if none waits
 	 */
-	long firstOrder() {
+	long firstSubmissionOrder() {
 		long first = Long.MAX_VALUE;
 		for (ShapeQueue queue : this.shapes.values()) {
-			first = Math.min(first, queue.first().order);
+			first = Math.min(first, queue.first().submissionOrder);
 		}
 		return first;
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
 import org.almondmount.jobs.JobEvent;
 import org.almondmount.jobs.JobFeature;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobPolicy;
 import org.almondmount.jobs.JobScheduler;
 import org.almondmount.jobs.JobView;
@@ -33,102 +33,104 @@
  */
 public final class DefaultJobScheduler implements JobScheduler {
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet = new Fleet();
 
 	private final WaitingJobs waiting = new WaitingJobs();
 
-	private final JobBook book;
+	private final JobRegistry registry;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
-	private final GangRunner runner;
+	private final GangRunner gangRunner;
 
 	private final Admission admission;
 
-	private final ZoneDrain zones;
+	private final ZoneDrain zoneDrain;
 
 	private final Recovery recovery;
 
 	private final Dispatcher dispatcher;
 
-	private final Relief relief;
+	private final Rescheduler rescheduler;
 
 	private final PlanPreview preview;
 
 	private final Explainer explainer;
 
-	private final UsageGuard usage;
+	private final UsageGuard usageGuard;
 
 	private final Map<Class<?>, Consumer<JobEvent>> handlers = new HashMap<>();
 
-	private long wakeAt = Long.MAX_VALUE;
+	private long requestedWakeAt = Long.MAX_VALUE;
 
 	public DefaultJobScheduler(JobPolicy policy) {
-		this.desk = new Desk(policy);
-		this.book = new JobBook(this.desk, this.waiting);
-		Placer placer = new Placer(this.fleet, policy.has(JobFeature.PACKING));
-		this.ledger = new GuaranteeLedger(this.desk, this.fleet, placer);
-		RunTimes runTimes = new RunTimes(policy.has(JobFeature.LEARNED_RUN_TIMES));
-		Health health = new Health(this.desk, this.fleet, this.ledger);
-		this.runner = new GangRunner(this.desk, this.fleet, this.book, this.waiting, this.ledger, health, runTimes);
-		this.admission = new Admission(this.desk, this.fleet, this.waiting);
-		this.zones = new ZoneDrain(this.desk, this.fleet, this.runner, this.ledger);
-		this.recovery = new Recovery(this.desk, this.fleet, this.book, this.runner, this.ledger);
-		Reservations reservations = new Reservations(this.desk, this.fleet, runTimes);
-		Evictor evictor = new Evictor(this.desk, this.fleet);
-		GuaranteedStart guaranteed = new GuaranteedStart(this.desk, this.fleet, placer, this.ledger, evictor,
-				this.runner);
-		this.dispatcher = new Dispatcher(this.desk, this.fleet, this.waiting, this.runner, placer, this.ledger,
-				guaranteed, reservations);
-		this.relief = new Relief(this.desk, this.fleet, this.waiting, placer, evictor, this.runner, this.dispatcher,
-				this.ledger, guaranteed, reservations);
-		this.preview = new PlanPreview(this.desk, this.fleet, this.book, this.ledger, evictor, placer);
-		this.explainer = new Explainer(this.desk, this.fleet, this.ledger, reservations);
-		this.usage = new UsageGuard(this.desk, this.runner);
-		on(JobEvent.ConfigurationChanged.class, (event) -> configure(event.configuration()));
-		on(JobEvent.WorkerJoined.class, (event) -> joined(event.worker()));
-		on(JobEvent.WorkerLeaving.class, (event) -> leaving(event.worker()));
-		on(JobEvent.WorkerLost.class, (event) -> lost(event.worker()));
-		on(JobEvent.JobSubmitted.class, this::submitted);
-		on(JobEvent.JobRecovered.class, this.recovery::recovered);
-		on(JobEvent.JobCancelled.class, (event) -> cancelled(event.job()));
-		on(JobEvent.PlacementCommitted.class, (event) -> committed(event.attempt()));
-		on(JobEvent.PlacementRejected.class, (event) -> rejected(event.attempt()));
-		on(JobEvent.StartsAllowed.class, (event) -> startsAllowed(event.allowed()));
-		onMember();
+		this.context = new SchedulerContext(policy);
+		this.registry = new JobRegistry(this.context, this.waiting);
+		Placer placer = new Placer(this.fleet, policy.isEnabled(JobFeature.PACKING));
+		this.guaranteeAllocator = new GuaranteeLedger(this.context, this.fleet, placer);
+		RunTimeEstimator runTimeEstimator = new RunTimeEstimator(policy.isEnabled(JobFeature.LEARNED_RUN_TIMES));
+		WorkerHealth workerHealth = new WorkerHealth(this.context, this.fleet, this.guaranteeAllocator);
+		this.gangRunner = new GangRunner(this.context, this.fleet, this.registry, this.waiting, this.guaranteeAllocator,
+				workerHealth, runTimeEstimator);
+		this.admission = new Admission(this.context, this.fleet, this.waiting);
+		this.zoneDrain = new ZoneDrain(this.context, this.fleet, this.gangRunner, this.guaranteeAllocator);
+		this.recovery = new Recovery(this.context, this.fleet, this.registry, this.gangRunner, this.guaranteeAllocator);
+		Reservations reservations = new Reservations(this.context, this.fleet, runTimeEstimator);
+		Evictor evictor = new Evictor(this.context, this.fleet);
+		GuaranteedStart guaranteedJobStarter = new GuaranteedStart(this.context, this.fleet, placer,
+				this.guaranteeAllocator, evictor, this.gangRunner);
+		this.dispatcher = new Dispatcher(this.context, this.fleet, this.waiting, this.gangRunner, placer,
+				this.guaranteeAllocator, guaranteedJobStarter, reservations);
+		this.rescheduler = new Rescheduler(this.context, this.fleet, this.waiting, placer, evictor, this.gangRunner,
+				this.dispatcher, this.guaranteeAllocator, guaranteedJobStarter, reservations);
+		this.preview = new PlanPreview(this.context, this.fleet, this.registry, this.guaranteeAllocator, evictor,
+				placer);
+		this.explainer = new Explainer(this.context, this.fleet, this.guaranteeAllocator, reservations);
+		this.usageGuard = new UsageGuard(this.context, this.gangRunner);
+		addHandler(JobEvent.ConfigurationChanged.class, (event) -> onConfigurationChanged(event.configuration()));
+		addHandler(JobEvent.WorkerJoined.class, (event) -> onWorkerJoined(event.worker()));
+		addHandler(JobEvent.WorkerLeaving.class, (event) -> onWorkerLeaving(event.worker()));
+		addHandler(JobEvent.WorkerLost.class, (event) -> onWorkerLost(event.worker()));
+		addHandler(JobEvent.JobSubmitted.class, this::onJobSubmitted);
+		addHandler(JobEvent.JobRecovered.class, this.recovery::onJobRecovered);
+		addHandler(JobEvent.JobCancelled.class, (event) -> onJobCancelled(event.job()));
+		addHandler(JobEvent.PlacementCommitted.class, (event) -> onPlacementCommitted(event.attempt()));
+		addHandler(JobEvent.PlacementRejected.class, (event) -> onPlacementRejected(event.attempt()));
+		addHandler(JobEvent.StartsAllowed.class, (event) -> onStartsAllowed(event.allowed()));
+		addMemberHandlers();
 	}
 
 	@Override
 	public List<JobCommand> handle(long nowMillis, JobEvent event) {
-		this.desk.now = Math.max(nowMillis, this.desk.now);
-		this.desk.timers.runDue(this.desk.now);
+		this.context.now = Math.max(nowMillis, this.context.now);
+		this.context.timers.runDue(this.context.now);
 		Consumer<JobEvent> handler = this.handlers.get(event.getClass());
 		if (handler != null) {
 			handler.accept(event);
 		}
-		this.dispatcher.run();
-		this.relief.keepPace();
-		wake();
-		return this.desk.takeCommands();
+		this.dispatcher.placeWaitingJobs();
+		this.rescheduler.schedulePass();
+		requestWakeUp();
+		return this.context.takeCommands();
 	}
 
 	@Override
 	public PlanEffects preview(long nowMillis, Intent intent) {
-		this.desk.now = Math.max(nowMillis, this.desk.now);
+		this.context.now = Math.max(nowMillis, this.context.now);
 		return this.preview.preview(intent);
 	}
 
 	@Override
 	public Optional<JobView> job(JobId job) {
-		return Optional.ofNullable(this.book.job(job)).map(this::view);
+		return Optional.ofNullable(this.registry.job(job)).map(this::view);
 	}
 
 	@Override
 	public List<JobView> jobs() {
 		List<JobView> views = new ArrayList<>();
-		for (JobState job : this.book.jobs()) {
+		for (JobState job : this.registry.jobs()) {
 			views.add(view(job));
 		}
 		return views;
@@ -147,30 +149,31 @@
 
 	@Override
 	public List<String> explain(JobId id) {
-		JobState job = this.book.job(id);
+		JobState job = this.registry.job(id);
 		return (job != null) ? List.copyOf(this.explainer.explain(job)) : List.of();
 	}
 
-	GuaranteeLedger ledger() {
-		return this.ledger;
+	GuaranteeLedger guaranteeAllocator() {
+		return this.guaranteeAllocator;
 	}
 
-	private <E extends JobEvent> void on(Class<E> type, Consumer<E> handler) {
+	private <E extends JobEvent> void addHandler(Class<E> type, Consumer<E> handler) {
 		this.handlers.put(type, (event) -> handler.accept(type.cast(event)));
 	}
 
-	private void onMember() {
-		on(JobEvent.MemberPrepared.class,
-				(event) -> withMember(event.attempt(), event.member(), this.runner::prepared));
-		on(JobEvent.MemberRefused.class, (event) -> withMember(event.attempt(), event.member(),
-				(member) -> this.runner.refused(member, event.why())));
-		on(JobEvent.MemberStarted.class, (event) -> withMember(event.attempt(), event.member(), this.runner::started));
-		on(JobEvent.MemberCheckpointed.class,
-				(event) -> withMember(event.attempt(), event.member(), this.runner::checkpointed));
-		on(JobEvent.MemberUsage.class, (event) -> withMember(event.attempt(), event.member(),
-				(member) -> this.usage.reported(member, event.used())));
-		on(JobEvent.MemberEnded.class, (event) -> withMember(event.attempt(), event.member(),
-				(member) -> this.runner.ended(member, event.ending())));
+	private void addMemberHandlers() {
+		addHandler(JobEvent.MemberPrepared.class,
+				(event) -> withMember(event.attempt(), event.member(), this.gangRunner::onMemberPrepared));
+		addHandler(JobEvent.MemberRefused.class, (event) -> withMember(event.attempt(), event.member(),
+				(member) -> this.gangRunner.onMemberRefused(member, event.reason())));
+		addHandler(JobEvent.MemberStarted.class,
+				(event) -> withMember(event.attempt(), event.member(), this.gangRunner::onMemberStarted));
+		addHandler(JobEvent.MemberCheckpointed.class,
+				(event) -> withMember(event.attempt(), event.member(), this.gangRunner::onMemberCheckpointed));
+		addHandler(JobEvent.MemberUsage.class, (event) -> withMember(event.attempt(), event.member(),
+				(member) -> this.usageGuard.onUsageReported(member, event.used())));
+		addHandler(JobEvent.MemberEnded.class, (event) -> withMember(event.attempt(), event.member(),
+				(member) -> this.gangRunner.onMemberEnded(member, event.outcome())));
 	}
 
 	/**
@@ -180,23 +183,23 @@
 	 * @param action what to do with it
 	 */
 	private void withMember(Attempt attempt, int index, Consumer<Member> action) {
-		JobState job = this.book.job(attempt.job());
+		JobState job = this.registry.job(attempt.job());
 		Gang gang = (job != null) ? job.gang(attempt.number()) : null;
-		if (gang != null && index >= 0 && index < gang.members.length && gang.members[index].ending == null) {
+		if (gang != null && index >= 0 && index < gang.members.length && gang.members[index].outcome == null) {
 			action.accept(gang.members[index]);
 		}
 	}
 
-	private void configure(Configuration configuration) {
-		if (configuration.revision() < this.desk.configuration.revision()) {
+	private void onConfigurationChanged(Configuration configuration) {
+		if (configuration.revision() < this.context.configuration.revision()) {
 			return;
 		}
-		Set<CustomerId> removed = new TreeSet<>(this.desk.configuration.customers().keySet());
+		Set<CustomerId> removed = new TreeSet<>(this.context.configuration.customers().keySet());
 		removed.removeAll(configuration.customers().keySet());
-		this.desk.configuration = configuration;
+		this.context.configuration = configuration;
 		this.waiting.configure(configuration);
-		this.zones.configure(configuration);
-		this.ledger.configure(configuration);
+		this.zoneDrain.configure(configuration);
+		this.guaranteeAllocator.configure(configuration);
 		cancelJobsOf(removed);
 	}
 
@@ -204,116 +207,117 @@
 		if (removed.isEmpty()) {
 			return;
 		}
-		for (JobState job : new ArrayList<>(this.book.jobs())) {
+		for (JobState job : new ArrayList<>(this.registry.jobs())) {
 			if (removed.contains(job.spec.customer())) {
 				cancel(job, "customer " + job.spec.customer() + " was removed");
 			}
 		}
 	}
 
-	private void joined(WorkerInfo info) {
+	private void onWorkerJoined(WorkerInfo info) {
 		WorkerNode worker = this.fleet.join(info);
-		this.ledger.workerOpened(worker);
-		this.recovery.joined(worker);
-		this.ledger.recheck(worker);
+		this.guaranteeAllocator.workerOpened(worker);
+		this.recovery.onWorkerJoined(worker);
+		this.guaranteeAllocator.recheck(worker);
 	}
 
-	private void leaving(WorkerId id) {
+	private void onWorkerLeaving(WorkerId id) {
 		WorkerNode worker = this.fleet.worker(id);
 		if (worker == null || !worker.present) {
 			return;
 		}
 		this.fleet.leaving(worker);
-		this.zones.drainWorker(worker);
+		this.zoneDrain.drainWorker(worker);
 	}
 
-	private void lost(WorkerId id) {
+	private void onWorkerLost(WorkerId id) {
 		WorkerNode worker = this.fleet.worker(id);
 		if (worker == null || !worker.present) {
 			return;
 		}
 		this.fleet.lost(worker);
-		this.ledger.workerClosed(worker);
+		this.guaranteeAllocator.workerClosed(worker);
 		for (Member member : new ArrayList<>(worker.members)) {
-			if (member.booked) {
-				this.runner.lost(member);
+			if (member.allocated) {
+				this.gangRunner.onMemberLost(member);
 			}
 		}
 	}
 
-	private void submitted(JobEvent.JobSubmitted event) {
-		if (this.book.job(event.job()) != null) {
+	private void onJobSubmitted(JobEvent.JobSubmitted event) {
+		if (this.registry.job(event.job()) != null) {
 			return;
 		}
 		Optional<Refusal> refusal = this.admission.refusal(event.spec());
 		if (refusal.isPresent()) {
-			this.desk.send(new JobCommand.Refuse(event.job(), refusal.get()));
+			this.context.send(new JobCommand.Refuse(event.job(), refusal.get()));
 			return;
 		}
-		JobState job = this.book.add(event.job(), event.spec());
-		job.say("It was accepted and waits for a place.");
-		this.desk.send(new JobCommand.Accept(job.id, job.spec));
-		this.book.enqueue(job);
+		JobState job = this.registry.add(event.job(), event.spec());
+		job.addExplanation("It was accepted and waits for a place.");
+		this.context.send(new JobCommand.Accept(job.id, job.spec));
+		this.registry.enqueue(job);
 	}
 
-	private void cancelled(JobId id) {
-		JobState job = this.book.job(id);
+	private void onJobCancelled(JobId id) {
+		JobState job = this.registry.job(id);
 		if (job != null) {
 			cancel(job, "it was cancelled");
 		}
 	}
 
-	private void cancel(JobState job, String why) {
-		if (job.ending != null) {
+	private void cancel(JobState job, String reason) {
+		if (job.outcome != null) {
 			return;
 		}
 		if (job.current != null) {
-			this.runner.abandon(job.current);
+			this.gangRunner.abandon(job.current);
 		}
-		this.book.finish(job, Ending.CANCELLED, why);
+		this.registry.finish(job, JobOutcome.CANCELLED, reason);
 	}
 
-	private void committed(Attempt attempt) {
-		Gang gang = current(attempt);
+	private void onPlacementCommitted(Attempt attempt) {
+		Gang gang = currentGang(attempt);
 		if (gang != null) {
-			this.runner.committed(gang);
+			this.gangRunner.onPlacementCommitted(gang);
 		}
 	}
 
-	private void rejected(Attempt attempt) {
-		Gang gang = current(attempt);
+	private void onPlacementRejected(Attempt attempt) {
+		Gang gang = currentGang(attempt);
 		if (gang != null && gang.stage == Gang.Stage.COMMITTING) {
-			this.runner.giveUp(gang, "the table did not take the placement", true);
+			this.gangRunner.abandonAndRequeue(gang, "the table did not take the placement", true);
 		}
 	}
 
-	private Gang current(Attempt attempt) {
-		JobState job = this.book.job(attempt.job());
+	private Gang currentGang(Attempt attempt) {
+		JobState job = this.registry.job(attempt.job());
 		if (job == null || job.current == null || job.current.attempt.number() != attempt.number()) {
 			return null;
 		}
 		return job.current;
 	}
 
-	private void startsAllowed(boolean allowed) {
-		this.desk.startsAllowed = allowed;
+	private void onStartsAllowed(boolean allowed) {
+		this.context.startsAllowed = allowed;
 		if (allowed) {
-			this.runner.resume();
+			this.gangRunner.resumeDeferred();
 		}
 	}
 
-	private void wake() {
-		long next = this.desk.timers.next();
-		if (next == Long.MAX_VALUE || (next >= this.wakeAt && this.wakeAt > this.desk.now)) {
+	private void requestWakeUp() {
+		long nextDueAt = this.context.timers.nextDueAt();
+		if (nextDueAt == Long.MAX_VALUE
+				|| (nextDueAt >= this.requestedWakeAt && this.requestedWakeAt > this.context.now)) {
 			return;
 		}
-		this.wakeAt = next;
-		this.desk.send(new JobCommand.WakeAt(next));
+		this.requestedWakeAt = nextDueAt;
+		this.context.send(new JobCommand.WakeAt(nextDueAt));
 	}
 
 	private JobView view(JobState job) {
-		List<String> sentences = job.sentences();
-		return job.view(sentences.isEmpty() ? "" : sentences.get(sentences.size() - 1));
+		List<String> explanations = job.explanations();
+		return job.view(explanations.isEmpty() ? "" : explanations.get(explanations.size() - 1));
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
@@ -17,59 +17,59 @@
 	/**
 	 * Most placements for one event: a burst must not hold up the event behind it.
 	 */
-	private static final int PLACEMENTS_AN_EVENT = 16;
+	private static final int MAX_PLACEMENTS_PER_EVENT = 16;
 
 	/** Above this many changed workers every waiting shape is tried again. */
-	private static final int FEW_WORKERS = 24;
+	private static final int MAX_WORKERS_CHECKED_SINGLY = 24;
 
 	/** How long a job keeps away from workers on which it failed. */
-	private static final long AVOID_MILLIS = 60_000;
+	private static final long FAILED_WORKER_AVOIDANCE_MILLIS = 60_000;
 
 	/** Work without accelerators keeps to spare cores for so long. */
-	private static final long SPARE_CORES_MILLIS = 10_000;
+	private static final long SPARE_CORES_ONLY_MILLIS = 10_000;
 
 	/** The share of a worker's cores that is kept for its free accelerators. */
-	private static final double CORES_KEPT = 0.75;
+	private static final double CORE_SHARE_FOR_ACCELERATORS = 0.75;
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
 	private final WaitingJobs waiting;
 
-	private final GangRunner runner;
+	private final GangRunner gangRunner;
 
 	private final Placer placer;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
-	private final GuaranteedStart guaranteed;
+	private final GuaranteedStart guaranteedJobStarter;
 
 	private final Reservations reservations;
 
-	Dispatcher(Desk desk, Fleet fleet, WaitingJobs waiting, GangRunner runner, Placer placer, GuaranteeLedger ledger,
-			GuaranteedStart guaranteed, Reservations reservations) {
-		this.desk = desk;
+	Dispatcher(SchedulerContext context, Fleet fleet, WaitingJobs waiting, GangRunner gangRunner, Placer placer,
+			GuaranteeLedger guaranteeAllocator, GuaranteedStart guaranteedJobStarter, Reservations reservations) {
+		this.context = context;
 		this.fleet = fleet;
 		this.waiting = waiting;
-		this.runner = runner;
+		this.gangRunner = gangRunner;
 		this.placer = placer;
-		this.ledger = ledger;
-		this.guaranteed = guaranteed;
+		this.guaranteeAllocator = guaranteeAllocator;
+		this.guaranteedJobStarter = guaranteedJobStarter;
 		this.reservations = reservations;
 	}
 
-	void run() {
-		if (!this.desk.startsAllowed) {
+	void placeWaitingJobs() {
+		if (!this.context.startsAllowed) {
 			return;
 		}
-		openWhatMayFit();
-		for (int placed = 0; placed < PLACEMENTS_AN_EVENT; placed++) {
-			if (!placeOne()) {
+		openFittingShapes();
+		for (int placed = 0; placed < MAX_PLACEMENTS_PER_EVENT; placed++) {
+			if (!placeNext()) {
 				return;
 			}
 		}
-		this.desk.timers.at(this.desk.now, () -> {
+		this.context.timers.schedule(this.context.now, () -> {
 		});
 	}
 
@@ -79,22 +79,23 @@
 	 * @return whether it was started
 	 */
 	boolean start(JobState job) {
-		boolean wholeSpot = this.guaranteed.isWholeSpot(job);
-		if (wholeSpot && this.guaranteed.start(job, !isHurried(job))) {
+		boolean fillsReservation = this.guaranteedJobStarter.isWholeSpot(job);
+		if (fillsReservation && this.guaranteedJobStarter.start(job, !isUrgentSingleTask(job))) {
 			return true;
 		}
-		List<WorkerNode> places = findPlaces(job);
-		if (places == null) {
-			return (wholeSpot || this.guaranteed.isEntitled(job)) && this.guaranteed.start(job, true);
+		List<WorkerNode> workers = findWorkers(job);
+		if (workers == null) {
+			return (fillsReservation || this.guaranteedJobStarter.isEntitled(job))
+					&& this.guaranteedJobStarter.start(job, true);
 		}
-		this.runner.launch(job, places, null);
+		this.gangRunner.launch(job, workers, null);
 		this.reservations.drop(job);
 		return true;
 	}
 
 	// An urgent task would wait for a borrower's checkpoint although room is free that is
 	// no spot of its owner; it takes that room, and has others leave only without it.
-	private static boolean isHurried(JobState job) {
+	private static boolean isUrgentSingleTask(JobState job) {
 		return job.spec.urgency() == Urgency.URGENT && job.spec.shape().members() == 1;
 	}
 
@@ -104,31 +105,31 @@
 	 * @param customer the customer
 	 * @return the result
 	 */
-	double received(CustomerQueue customer) {
+	double weightedShare(CustomerQueue customer) {
 		double share = this.fleet.dominantShare(customer.used);
-		return (share + customer.average(this.desk.now, share)) / 2 / customer.weight;
+		return (share + customer.averageShare(this.context.now, share)) / 2 / customer.weight;
 	}
 
-	private void openWhatMayFit() {
-		for (CustomerId customer : this.ledger.takeChanged()) {
+	private void openFittingShapes() {
+		for (CustomerId customer : this.guaranteeAllocator.takeChanged()) {
 			this.waiting.open(customer);
 		}
 		List<WorkerNode> grown = this.fleet.takeGrown();
 		if (grown.isEmpty()) {
 			return;
 		}
-		this.ledger.layOut();
-		if (grown.size() > FEW_WORKERS) {
+		this.guaranteeAllocator.layOut();
+		if (grown.size() > MAX_WORKERS_CHECKED_SINGLY) {
 			this.waiting.openAll();
 		}
 		else {
-			this.waiting.openFitting(this.fleet, grown);
+			this.waiting.openFittingShapes(this.fleet, grown);
 		}
 	}
 
-	private boolean placeOne() {
+	private boolean placeNext() {
 		while (true) {
-			ShapeQueue next = next();
+			ShapeQueue next = nextQueue();
 			if (next == null) {
 				return false;
 			}
@@ -139,63 +140,67 @@
 		}
 	}
 
-	private ShapeQueue next() {
+	private ShapeQueue nextQueue() {
 		ShapeQueue best = null;
-		Turn bestTurn = null;
+		DispatchPriority bestPriority = null;
 		for (ShapeQueue queue : new ArrayList<>(this.waiting.open())) {
 			JobState job = queue.first();
-			boolean entitled = queue.isEntitled(this.guaranteed);
-			if (!entitled && !queue.fitsSomewhere(this.fleet)) {
+			boolean mayReclaim = queue.mayReclaimImmediately(this.guaranteedJobStarter);
+			if (!mayReclaim && !queue.mayFitAnywhere(this.fleet)) {
 				this.waiting.block(queue);
 				continue;
 			}
-			if (!this.desk.policy.has(JobFeature.BACKFILL) && !entitled && queue.customer.firstOrder() < job.order) {
+			if (!this.context.policy.isEnabled(JobFeature.BACKFILL) && !mayReclaim
+					&& queue.customer.firstSubmissionOrder() < job.submissionOrder) {
 				this.waiting.block(queue);
 				continue;
 			}
-			Turn turn = turn(queue, job, entitled);
-			if (bestTurn == null || turn.compareTo(bestTurn) < 0) {
+			DispatchPriority priority = priority(queue, job, mayReclaim);
+			if (bestPriority == null || priority.compareTo(bestPriority) < 0) {
 				best = queue;
-				bestTurn = turn;
+				bestPriority = priority;
 			}
 		}
 		return best;
 	}
 
-	private Turn turn(ShapeQueue queue, JobState job, boolean entitled) {
-		double share = this.desk.policy.has(JobFeature.FAIR_SHARE) ? received(queue.customer) : 0;
-		return new Turn(entitled, queue.key.urgent(), share, job.order);
+	private DispatchPriority priority(ShapeQueue queue, JobState job, boolean mayReclaim) {
+		double share = this.context.policy.isEnabled(JobFeature.FAIR_SHARE) ? weightedShare(queue.customer) : 0;
+		return new DispatchPriority(mayReclaim, queue.key.urgent(), share, job.submissionOrder);
 	}
 
-	private List<WorkerNode> findPlaces(JobState job) {
-		Predicate<WorkerNode> allowed = allowed(job);
-		Reservation own = this.reservations.of(job);
-		if (own != null) {
-			Room room = job.isPreemptible() ? Room.OPEN : Room.FIRM;
-			List<WorkerNode> places = this.placer.find(job.spec.shape(), room, own.workers()::contains);
-			if (places != null) {
-				return places;
+	private List<WorkerNode> findWorkers(JobState job) {
+		Predicate<WorkerNode> allowed = allowedWorkers(job);
+		Reservation ownReservation = this.reservations.of(job);
+		if (ownReservation != null) {
+			Room capacityView = job.isPreemptible() ? Room.OPEN : Room.FIRM;
+			List<WorkerNode> workers = this.placer.find(job.spec.shape(), capacityView,
+					ownReservation.workers()::contains);
+			if (workers != null) {
+				return workers;
 			}
 		}
-		boolean keepSpots = this.desk.policy.has(JobFeature.SPOT_KEEPING);
-		if (keepSpots || !job.isPreemptible()) {
-			List<WorkerNode> places = this.placer.find(job.spec.shape(), Room.FIRM, allowed);
-			if (places != null || !job.isPreemptible()) {
-				return places;
+		boolean avoidReservations = this.context.policy.isEnabled(JobFeature.SPOT_KEEPING);
+		if (avoidReservations || !job.isPreemptible()) {
+			List<WorkerNode> workers = this.placer.find(job.spec.shape(), Room.FIRM, allowed);
+			if (workers != null || !job.isPreemptible()) {
+				return workers;
 			}
 		}
 		return this.placer.find(job.spec.shape(), Room.OPEN, allowed);
 	}
 
-	private Predicate<WorkerNode> allowed(JobState job) {
-		boolean backfill = this.desk.policy.has(JobFeature.BACKFILL);
-		boolean avoid = this.desk.now - job.since < AVOID_MILLIS;
-		boolean alone = job.spec.shape().members() == 1;
-		boolean firm = !job.isPreemptible();
+	private Predicate<WorkerNode> allowedWorkers(JobState job) {
+		boolean backfill = this.context.policy.isEnabled(JobFeature.BACKFILL);
+		boolean avoidFailedWorkers = this.context.now - job.phaseSince < FAILED_WORKER_AVOIDANCE_MILLIS;
+		boolean singleMember = job.spec.shape().members() == 1;
+		boolean preemptionProtected = !job.isPreemptible();
 		Resources need = job.spec.shape().perMember();
-		boolean spare = need.accelerators() == 0 && this.desk.now - job.since < SPARE_CORES_MILLIS;
-		return (worker) -> (!spare || leavesCores(worker, need)) && (alone || !worker.probation)
-				&& (!avoid || !job.avoids(worker.info.id())) && (!firm || this.ledger.allowsFirm(worker))
+		boolean spareCoresOnly = need.accelerators() == 0
+				&& this.context.now - job.phaseSince < SPARE_CORES_ONLY_MILLIS;
+		return (worker) -> (!spareCoresOnly || leavesEnoughCores(worker, need)) && (singleMember || !worker.probation)
+				&& (!avoidFailedWorkers || !job.avoids(worker.info.id()))
+				&& (!preemptionProtected || this.guaranteeAllocator.allowsFirm(worker))
 				&& this.reservations.allows(job, worker, backfill);
 	}
 
@@ -207,27 +212,28 @@
 	 * @param need what each task needs
 	 * @return true if so
 	 */
-	private static boolean leavesCores(WorkerNode worker, Resources need) {
+	private static boolean leavesEnoughCores(WorkerNode worker, Resources need) {
 		int accelerators = worker.capacity().accelerators();
 		if (accelerators == 0) {
 			return true;
 		}
-		double each = CORES_KEPT * worker.capacity().cores() / accelerators;
-		return Room.FREE.cores(worker) - need.cores() >= each * Room.FREE.accelerators(worker);
+		double coresPerAccelerator = CORE_SHARE_FOR_ACCELERATORS * worker.capacity().cores() / accelerators;
+		return Room.FREE.cores(worker) - need.cores() >= coresPerAccelerator * Room.FREE.accelerators(worker);
 	}
 
 	/**
 	 * Where the first job of a shape stands in the order: what may have others leave,
 	 * then the customer with the smallest share, then its urgent work, then submission.
 	 */
-	private record Turn(boolean entitled, boolean urgent, double share, long order) implements Comparable<Turn> {
+	private record DispatchPriority(boolean mayReclaim, boolean urgent, double share,
+			long submissionOrder) implements Comparable<DispatchPriority> {
 
 		@Override
-		public int compareTo(Turn other) {
-			if (this.entitled != other.entitled) {
-				return this.entitled ? -1 : 1;
+		public int compareTo(DispatchPriority other) {
+			if (this.mayReclaim != other.mayReclaim) {
+				return this.mayReclaim ? -1 : 1;
 			}
-			if (this.entitled && this.urgent != other.urgent) {
+			if (this.mayReclaim && this.urgent != other.urgent) {
 				return this.urgent ? -1 : 1;
 			}
 			int byShare = Double.compare(this.share, other.share);
@@ -237,7 +243,7 @@
 			if (this.urgent != other.urgent) {
 				return this.urgent ? -1 : 1;
 			}
-			return Long.compare(this.order, other.order);
+			return Long.compare(this.submissionOrder, other.submissionOrder);
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/EmptyLayout.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/EmptyLayout.java
@@ -29,7 +29,7 @@
 
 	EmptyLayout(Fleet real, Configuration configuration, JobPolicy policy) {
 		this.configuration = configuration;
-		Desk desk = new Desk(policy);
+		SchedulerContext desk = new SchedulerContext(policy);
 		desk.configuration = configuration;
 		for (ZoneNode zone : real.zones()) {
 			this.fleet.zone(zone.id).accepting = configuration.zone(zone.id).acceptsWork();
@@ -39,7 +39,7 @@
 				this.fleet.join(worker.info);
 			}
 		}
-		this.placer = new Placer(this.fleet, policy.has(JobFeature.PACKING));
+		this.placer = new Placer(this.fleet, policy.isEnabled(JobFeature.PACKING));
 		this.ledger = new GuaranteeLedger(desk, this.fleet, this.placer);
 		this.ledger.configure(configuration);
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
@@ -21,73 +21,73 @@
 final class Evictor {
 
 	/** Racks or workers that are compared for one gang. */
-	private static final int CANDIDATES = 12;
+	private static final int MAX_CANDIDATES = 12;
 
 	/** Racks over which a gang of a zone may spread. */
-	private static final int RACKS_OF_A_GANG = 128;
+	private static final int MAX_RACKS_PER_GANG = 128;
 
 	/** What a checkpoint and the restart from it cost, in seconds. */
-	private static final double RESTART_SECONDS = 3;
+	private static final double RESTART_COST_SECONDS = 3;
 
 	/**
 	 * What it costs to take a place away before the work has started: others may have
 	 * left for it.
 	 */
-	private static final double BEFORE_START_SECONDS = 20;
+	private static final double BEFORE_START_COST_SECONDS = 20;
 
-	private static final double CORES_AN_ACCELERATOR = 8;
+	private static final double CORES_PER_ACCELERATOR = 8;
 
 	private static final Resources ONE_ACCELERATOR = new Resources(1, 0, 0);
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	Evictor(Desk desk, Fleet fleet) {
-		this.desk = desk;
+	Evictor(SchedulerContext context, Fleet fleet) {
+		this.context = context;
 		this.fleet = fleet;
 	}
 
 	/**
 	 * The place whose clearing loses the least.
 	 * @param shape the gang
-	 * @param room {@link Room#RECLAIMABLE} for work that stays, {@link Room#EVICTABLE}
-	 * for work that borrows
-	 * @param allowed whether an attempt may be made to leave
+	 * @param capacityView {@link Room#RECLAIMABLE} for work that stays,
+	 * {@link Room#EVICTABLE} for work that borrows
+	 * @param evictable whether an attempt may be made to leave
 	 * @param usable whether a worker may be used
 	 * @return the place and who has to leave, null if there is none
 	 */
-	Eviction cheapest(GangShape shape, Room room, Predicate<Gang> allowed, Predicate<WorkerNode> usable) {
+	Eviction cheapest(GangShape shape, Room capacityView, Predicate<Gang> evictable, Predicate<WorkerNode> usable) {
 		Eviction best = null;
-		for (List<WorkerNode> places : candidates(shape, room, usable)) {
-			best = cheaper(best, victims(shape, places, allowed));
+		for (List<WorkerNode> workers : candidates(shape, capacityView, usable)) {
+			best = cheaper(best, victims(shape, workers, evictable));
 		}
 		return best;
 	}
 
-	static Eviction cheaper(Eviction one, Eviction other) {
-		if (one == null || other == null) {
-			return (one != null) ? one : other;
+	static Eviction cheaper(Eviction first, Eviction second) {
+		if (first == null || second == null) {
+			return (first != null) ? first : second;
 		}
-		return (other.loss() < one.loss()) ? other : one;
+		return (second.loss() < first.loss()) ? second : first;
 	}
 
 	/**
 	 * Who has to leave for a gang to have given places.
 	 * @param shape the gang
-	 * @param places a worker for each member
-	 * @param allowed whether an attempt may be made to leave
+	 * @param workers a worker for each member
+	 * @param evictable whether an attempt may be made to leave
 	 * @return the attempts, null if their leaving would not be enough
 	 */
-	Eviction victims(GangShape shape, List<WorkerNode> places, Predicate<Gang> allowed) {
-		Map<WorkerNode, Integer> counts = new LinkedHashMap<>();
-		for (WorkerNode worker : places) {
-			counts.merge(worker, 1, Integer::sum);
+	Eviction victims(GangShape shape, List<WorkerNode> workers, Predicate<Gang> evictable) {
+		Map<WorkerNode, Integer> membersPerWorker = new LinkedHashMap<>();
+		for (WorkerNode worker : workers) {
+			membersPerWorker.merge(worker, 1, Integer::sum);
 		}
 		Set<Gang> victims = new LinkedHashSet<>();
-		for (Map.Entry<WorkerNode, Integer> entry : counts.entrySet()) {
+		for (Map.Entry<WorkerNode, Integer> entry : membersPerWorker.entrySet()) {
 			Resources need = shape.perMember().times(entry.getValue());
-			if (!clear(entry.getKey(), need, allowed, victims)) {
+			if (!selectVictims(entry.getKey(), need, evictable, victims)) {
 				return null;
 			}
 		}
@@ -95,7 +95,7 @@
 		for (Gang victim : victims) {
 			loss += loss(victim);
 		}
-		return new Eviction(places, victims, loss);
+		return new Eviction(workers, victims, loss);
 	}
 
 	/**
@@ -105,88 +105,88 @@
 	 * @return the loss
 	 */
 	double loss(Gang gang) {
-		double size = size(gang.job);
+		double accelerators = acceleratorEquivalents(gang.job);
 		if (!gang.isActive()) {
-			return size * BEFORE_START_SECONDS;
+			return accelerators * BEFORE_START_COST_SECONDS;
 		}
 		if (gang.job.spec.checkpoints()) {
-			return size * RESTART_SECONDS;
+			return accelerators * RESTART_COST_SECONDS;
 		}
-		return size * (RESTART_SECONDS + (this.desk.now - gang.stageSince) / 1000.0);
+		return accelerators * (RESTART_COST_SECONDS + (this.context.now - gang.stageSince) / 1000.0);
 	}
 
-	static double size(JobState job) {
-		return size(job.spec.shape());
+	static double acceleratorEquivalents(JobState job) {
+		return acceleratorEquivalents(job.spec.shape());
 	}
 
-	static double size(GangShape shape) {
+	static double acceleratorEquivalents(GangShape shape) {
 		Resources total = shape.total();
-		return Math.max(total.accelerators(), total.cores() / CORES_AN_ACCELERATOR);
+		return Math.max(total.accelerators(), total.cores() / CORES_PER_ACCELERATOR);
 	}
 
-	boolean movedLately(Gang gang) {
-		long alone = this.desk.policy.limits().movedAgainAfter().toMillis();
-		return gang.job.preemptions > 0 && gang.job.movedAt + alone > this.desk.now;
+	boolean wasRecentlyPreempted(Gang gang) {
+		long cooldown = this.context.policy.limits().preemptionCooldown().toMillis();
+		return gang.job.preemptions > 0 && gang.job.lastPreemptedAt + cooldown > this.context.now;
 	}
 
-	private boolean clear(WorkerNode worker, Resources need, Predicate<Gang> allowed, Set<Gang> victims) {
-		Amount room = new Amount();
-		room.add(worker.capacity(), 1);
-		room.subtract(worker.used);
-		room.add(need, -1);
+	private boolean selectVictims(WorkerNode worker, Resources need, Predicate<Gang> evictable, Set<Gang> victims) {
+		Amount remaining = new Amount();
+		remaining.add(worker.capacity(), 1);
+		remaining.subtract(worker.used);
+		remaining.add(need, -1);
 		List<Gang> candidates = new ArrayList<>();
 		for (Member member : worker.members) {
 			Gang gang = member.gang;
-			boolean leaves = gang.stage == Gang.Stage.ABANDONED || gang.stage == Gang.Stage.STOPPING
+			boolean isBeingReleased = gang.stage == Gang.Stage.ABANDONED || gang.stage == Gang.Stage.STOPPING
 					|| victims.contains(gang);
-			if (leaves) {
-				room.add(gang.job.spec.shape().perMember(), 1);
+			if (isBeingReleased) {
+				remaining.add(gang.job.spec.shape().perMember(), 1);
 			}
-			else if (gang.job.isPreemptible() && !candidates.contains(gang) && allowed.test(gang)) {
+			else if (gang.job.isPreemptible() && !candidates.contains(gang) && evictable.test(gang)) {
 				candidates.add(gang);
 			}
 		}
-		candidates.sort(Comparator.comparing(this::movedLately).thenComparingDouble(this::loss));
+		candidates.sort(Comparator.comparing(this::wasRecentlyPreempted).thenComparingDouble(this::loss));
 		for (Gang gang : candidates) {
-			if (room.isCovered()) {
+			if (remaining.isCovered()) {
 				return true;
 			}
 			victims.add(gang);
 			for (Member member : gang.members) {
-				if (member.worker == worker && member.booked) {
-					room.add(gang.job.spec.shape().perMember(), 1);
+				if (member.worker == worker && member.allocated) {
+					remaining.add(gang.job.spec.shape().perMember(), 1);
 				}
 			}
 		}
-		return room.isCovered();
+		return remaining.isCovered();
 	}
 
-	private List<List<WorkerNode>> candidates(GangShape shape, Room room, Predicate<WorkerNode> usable) {
+	private List<List<WorkerNode>> candidates(GangShape shape, Room capacityView, Predicate<WorkerNode> usable) {
 		List<List<WorkerNode>> found = new ArrayList<>();
 		SlotIndex free = this.fleet.slots(Room.FREE, shape.perMember());
-		SlotIndex possible = this.fleet.slots(room, shape.perMember());
+		SlotIndex possible = this.fleet.slots(capacityView, shape.perMember());
 		if (shape.adjacency() == Adjacency.ZONE) {
-			ZoneNode zone = freest(shape, free, possible);
+			ZoneNode zone = zoneWithMostFreeSlots(shape, free, possible);
 			if (zone != null) {
-				List<RackNode> racks = enough(shape, possible, free.racks(zone), zone.racks);
-				add(found, fill(shape, room, usable, workers(racks)));
+				List<RackNode> racks = racksForGang(shape, possible, free.racks(zone), zone.racks);
+				addIfFound(found, assignWorkers(shape, capacityView, usable, workers(racks)));
 			}
 			return found;
 		}
 		if (shape.adjacency() == Adjacency.ANY && shape.members() > 1) {
-			List<RackNode> racks = enough(shape, possible, free.racks(), this.fleet.racks());
-			add(found, fill(shape, room, usable, workers(racks)));
+			List<RackNode> racks = racksForGang(shape, possible, free.racks(), this.fleet.racks());
+			addIfFound(found, assignWorkers(shape, capacityView, usable, workers(racks)));
 			return found;
 		}
 		boolean oneWorker = shape.adjacency() == Adjacency.WORKER || shape.members() == 1;
-		SlotIndex ranked = oneWorker ? this.fleet.slots(Room.FREE, ONE_ACCELERATOR) : free;
-		for (RackNode rack : mostFree(ranked.racks(), this.fleet.racks(), CANDIDATES)) {
+		SlotIndex rankedSlots = oneWorker ? this.fleet.slots(Room.FREE, ONE_ACCELERATOR) : free;
+		for (RackNode rack : racksByFreeSlots(rankedSlots.racks(), this.fleet.racks(), MAX_CANDIDATES)) {
 			if (!oneWorker) {
-				add(found, fill(shape, room, usable, rack.workers));
+				addIfFound(found, assignWorkers(shape, capacityView, usable, rack.workers));
 				continue;
 			}
 			for (WorkerNode worker : rack.workers) {
-				add(found, fill(shape, room, usable, List.of(worker)));
+				addIfFound(found, assignWorkers(shape, capacityView, usable, List.of(worker)));
 			}
 		}
 		return found;
@@ -200,7 +200,7 @@
 	 * @param limit how many are wanted
 	 * @return the result
 	 */
-	private List<RackNode> mostFree(NavigableSet<Long> keys, List<RackNode> all, int limit) {
+	private List<RackNode> racksByFreeSlots(NavigableSet<Long> keys, List<RackNode> all, int limit) {
 		Set<RackNode> racks = new LinkedHashSet<>();
 		for (long key : keys.descendingSet()) {
 			if (racks.size() >= limit) {
@@ -208,14 +208,14 @@
 			}
 			racks.add(this.fleet.rack(SlotIndex.rackOrder(key)));
 		}
-		int start = all.isEmpty() ? 0 : (int) (this.desk.now % all.size());
+		int start = all.isEmpty() ? 0 : (int) (this.context.now % all.size());
 		for (int i = 0; i < all.size() && racks.size() < limit; i++) {
 			racks.add(all.get((start + i) % all.size()));
 		}
 		return new ArrayList<>(racks);
 	}
 
-	private ZoneNode freest(GangShape shape, SlotIndex free, SlotIndex possible) {
+	private ZoneNode zoneWithMostFreeSlots(GangShape shape, SlotIndex free, SlotIndex possible) {
 		ZoneNode best = null;
 		for (ZoneNode zone : this.fleet.zones()) {
 			if (possible.slots(zone) >= shape.members() && (best == null || free.slots(zone) > free.slots(best))) {
@@ -234,11 +234,12 @@
 	 * @param all the racks to choose from
 	 * @return the racks
 	 */
-	private List<RackNode> enough(GangShape shape, SlotIndex possible, NavigableSet<Long> keys, List<RackNode> all) {
+	private List<RackNode> racksForGang(GangShape shape, SlotIndex possible, NavigableSet<Long> keys,
+			List<RackNode> all) {
 		List<RackNode> chosen = new ArrayList<>();
 		int slots = 0;
 		int wanted = 2 * shape.members();
-		for (RackNode rack : mostFree(keys, all, RACKS_OF_A_GANG)) {
+		for (RackNode rack : racksByFreeSlots(keys, all, MAX_RACKS_PER_GANG)) {
 			chosen.add(rack);
 			slots += possible.slots(rack);
 			if (slots >= wanted) {
@@ -259,15 +260,16 @@
 	/**
 	 * Free slots of all workers first, then those that others would have to leave.
 	 * @param shape the gang
-	 * @param room which room counts
+	 * @param capacityView which room counts
 	 * @param usable whether a worker may be used
 	 * @param workers the workers
 	 * @return the result
 	 */
-	private List<WorkerNode> fill(GangShape shape, Room room, Predicate<WorkerNode> usable, List<WorkerNode> workers) {
-		Map<WorkerNode, Integer> taken = new LinkedHashMap<>();
+	private List<WorkerNode> assignWorkers(GangShape shape, Room capacityView, Predicate<WorkerNode> usable,
+			List<WorkerNode> workers) {
+		Map<WorkerNode, Integer> slotsTaken = new LinkedHashMap<>();
 		int missing = shape.members();
-		for (Room step : List.of(Room.FREE, room)) {
+		for (Room stepView : List.of(Room.FREE, capacityView)) {
 			for (WorkerNode worker : workers) {
 				if (missing == 0) {
 					break;
@@ -275,37 +277,37 @@
 				if (!worker.isTrusted() || !usable.test(worker)) {
 					continue;
 				}
-				int possible = worker.slots(shape.perMember(), room);
-				int slots = Math.min(possible, worker.slots(shape.perMember(), step));
-				int more = Math.min(missing, slots - taken.getOrDefault(worker, 0));
-				if (more > 0) {
-					taken.merge(worker, more, Integer::sum);
-					missing -= more;
+				int possible = worker.slots(shape.perMember(), capacityView);
+				int slots = Math.min(possible, worker.slots(shape.perMember(), stepView));
+				int added = Math.min(missing, slots - slotsTaken.getOrDefault(worker, 0));
+				if (added > 0) {
+					slotsTaken.merge(worker, added, Integer::sum);
+					missing -= added;
 				}
 			}
 		}
 		if (missing > 0) {
 			return null;
 		}
-		List<WorkerNode> places = new ArrayList<>(shape.members());
-		taken.forEach((worker, count) -> places.addAll(java.util.Collections.nCopies(count, worker)));
-		return places;
+		List<WorkerNode> assigned = new ArrayList<>(shape.members());
+		slotsTaken.forEach((worker, count) -> assigned.addAll(java.util.Collections.nCopies(count, worker)));
+		return assigned;
 	}
 
-	private static void add(List<List<WorkerNode>> found, List<WorkerNode> places) {
-		if (places != null) {
-			found.add(places);
+	private static void addIfFound(List<List<WorkerNode>> found, List<WorkerNode> workers) {
+		if (workers != null) {
+			found.add(workers);
 		}
 	}
 
 	/**
 	 * A place and who has to leave it.
 	 *
-	 * @param places a worker for each member
+	 * @param workers a worker for each member
 	 * @param victims the attempts that have to leave
 	 * @param loss what that loses, in accelerator seconds
 	 */
-	record Eviction(List<WorkerNode> places, Set<Gang> victims, double loss) {
+	record Eviction(List<WorkerNode> workers, Set<Gang> victims, double loss) {
 
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
@@ -14,75 +14,75 @@
 
 	private static final int PERCENT = 100;
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
 	private final Reservations reservations;
 
-	Explainer(Desk desk, Fleet fleet, GuaranteeLedger ledger, Reservations reservations) {
-		this.desk = desk;
+	Explainer(SchedulerContext context, Fleet fleet, GuaranteeLedger guaranteeAllocator, Reservations reservations) {
+		this.context = context;
 		this.fleet = fleet;
-		this.ledger = ledger;
+		this.guaranteeAllocator = guaranteeAllocator;
 		this.reservations = reservations;
 	}
 
 	List<String> explain(JobState job) {
-		List<String> lines = new ArrayList<>(job.sentences());
-		if (job.ending != null) {
+		List<String> lines = new ArrayList<>(job.explanations());
+		if (job.outcome != null) {
 			return lines;
 		}
 		if (job.current != null) {
-			lines.add(stage(job.current));
+			lines.add(describeStage(job.current));
 			return lines;
 		}
-		if (!this.desk.startsAllowed) {
+		if (!this.context.startsAllowed) {
 			lines.add("Nothing starts at present: the state of the zones or the scheduler's lease is not certain.");
 		}
 		if (job.queue == null) {
-			lines.add(pause(job));
+			lines.add(describePause(job));
 			return lines;
 		}
-		lines.add(position(job));
-		lines.add(room(job.spec.shape()));
-		guarantee(job, lines);
+		lines.add(describePosition(job));
+		lines.add(describeFreeCapacity(job.spec.shape()));
+		describeGuarantee(job, lines);
 		Reservation reservation = this.reservations.of(job);
 		if (reservation != null) {
 			lines.add("Room on " + reservation.workers().size() + " workers is kept for it, expected to be free in "
-					+ Math.max(0, (reservation.readyAt() - this.desk.now) / 1000) + " s.");
+					+ Math.max(0, (reservation.readyAt() - this.context.now) / 1000) + " s.");
 		}
 		return lines;
 	}
 
-	private static String stage(Gang gang) {
+	private static String describeStage(Gang gang) {
 		String attempt = "Attempt " + gang.attempt.number();
 		return switch (gang.stage) {
-			case CLEARING -> attempt + " has its place and waits for borrowers to leave it.";
+			case AWAITING_EVICTION -> attempt + " has its place and waits for borrowers to leave it.";
 			case COMMITTING -> attempt + " has its place, which is being written to the table.";
-			case PREPARING -> attempt + " has " + gang.prepared + " of " + gang.members.length
+			case PREPARING -> attempt + " has " + gang.preparedCount + " of " + gang.members.length
 					+ " members held by their workers; it starts when all are.";
-			case STARTING -> attempt + " was started; " + gang.started + " of " + gang.members.length
+			case STARTING -> attempt + " was started; " + gang.startedCount + " of " + gang.members.length
 					+ " members have reported that they run.";
 			case RUNNING -> attempt + " runs on " + gang.members.length + " members"
-					+ ((gang.spot != null) ? " inside its customer's guarantee." : ".");
-			case STOPPING, ABANDONED -> attempt + " is being stopped: " + gang.why + '.';
+					+ ((gang.guaranteeReservation != null) ? " inside its customer's guarantee." : ".");
+			case STOPPING, ABANDONED -> attempt + " is being stopped: " + gang.stopReason + '.';
 		};
 	}
 
-	private String pause(JobState job) {
-		if (!job.abandoned.isEmpty()) {
+	private String describePause(JobState job) {
+		if (!job.abandonedGangs.isEmpty()) {
 			return "It waits until its former attempt has let go of its workers.";
 		}
-		return "It pauses for " + Math.max(0, (job.notBefore - this.desk.now) / 1000)
+		return "It pauses for " + Math.max(0, (job.notBefore - this.context.now) / 1000)
 				+ " s after its last attempt did not get to run.";
 	}
 
-	private String position(JobState job) {
+	private String describePosition(JobState job) {
 		int before = 0;
 		for (ShapeQueue queue : job.queue.customer.shapes.values()) {
-			before += queue.jobs.headMap(job.order).size();
+			before += queue.jobs.headMap(job.submissionOrder).size();
 		}
 		CustomerQueue customer = job.queue.customer;
 		double share = this.fleet.dominantShare(customer.used) * PERCENT;
@@ -91,7 +91,7 @@
 				before, customer.id, share, customer.weight);
 	}
 
-	private String room(GangShape shape) {
+	private String describeFreeCapacity(GangShape shape) {
 		boolean oneWorker = shape.adjacency() == Adjacency.WORKER;
 		SlotIndex free = this.fleet.slots(Room.FREE, oneWorker ? shape.total() : shape.perMember());
 		String need = "It needs " + EmptyLayout.describe(shape) + "; ";
@@ -109,17 +109,17 @@
 				+ free.slots(rack) + '.';
 	}
 
-	private void guarantee(JobState job, List<String> lines) {
+	private void describeGuarantee(JobState job, List<String> lines) {
 		int vacant = 0;
-		int missing = 0;
-		List<Spot> spots = this.ledger.spots(job.spec.customer());
-		for (Spot spot : spots) {
-			vacant += (spot.isPlaced() && spot.isVacant()) ? 1 : 0;
-			missing += spot.isPlaced() ? 0 : 1;
+		int unplaced = 0;
+		List<Spot> reservations = this.guaranteeAllocator.spots(job.spec.customer());
+		for (Spot reservation : reservations) {
+			vacant += (reservation.isPlaced() && reservation.isVacant()) ? 1 : 0;
+			unplaced += reservation.isPlaced() ? 0 : 1;
 		}
-		if (!spots.isEmpty()) {
-			lines.add("Of its customer's " + spots.size() + " guaranteed gangs " + vacant + " are not in use"
-					+ ((missing > 0) ? " and " + missing + " have no place at present." : "."));
+		if (!reservations.isEmpty()) {
+			lines.add("Of its customer's " + reservations.size() + " guaranteed gangs " + vacant + " are not in use"
+					+ ((unplaced > 0) ? " and " + unplaced + " have no place at present." : "."));
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
@@ -167,11 +167,11 @@
 
 	void book(Member member) {
 		Resources need = member.gang.job.spec.shape().perMember();
-		member.booked = true;
-		member.gang.booked++;
+		member.allocated = true;
+		member.gang.allocatedCount++;
 		member.worker.members.add(member);
 		member.worker.used.add(need, 1);
-		if (member.gang.firm) {
+		if (member.gang.preemptionProtected) {
 			member.worker.firm.add(need, 1);
 		}
 		if (!member.gang.job.isPreemptible()) {
@@ -181,15 +181,15 @@
 	}
 
 	void release(Member member) {
-		if (!member.booked) {
+		if (!member.allocated) {
 			return;
 		}
 		Resources need = member.gang.job.spec.shape().perMember();
-		member.booked = false;
-		member.gang.booked--;
+		member.allocated = false;
+		member.gang.allocatedCount--;
 		member.worker.members.remove(member);
 		member.worker.used.add(need, -1);
-		if (member.gang.firm) {
+		if (member.gang.preemptionProtected) {
 			member.worker.firm.add(need, -1);
 		}
 		if (!member.gang.job.isPreemptible()) {
@@ -215,12 +215,12 @@
 	}
 
 	private void setFirm(Gang gang, boolean firm) {
-		if (gang.firm == firm) {
+		if (gang.preemptionProtected == firm) {
 			return;
 		}
-		gang.firm = firm;
+		gang.preemptionProtected = firm;
 		for (Member member : gang.members) {
-			if (member.booked) {
+			if (member.allocated) {
 				member.worker.firm.add(gang.job.spec.shape().perMember(), firm ? 1 : -1);
 				changed(member.worker);
 			}
--- a/core/src/main/java/org/almondmount/jobs/impl/Gang.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Gang.java
@@ -14,7 +14,7 @@
 	enum Stage {
 
 		/** Waits for borrowers to leave the room that it was promised. */
-		CLEARING,
+		AWAITING_EVICTION,
 
 		/** The placement is being written. */
 		COMMITTING,
@@ -45,18 +45,18 @@
 	Stage stage;
 
 	/** Whether nobody else may preempt it. */
-	boolean firm;
+	boolean preemptionProtected;
 
 	/** The spot of its owner's guarantee that it runs in, null outside. */
-	Spot spot;
+	Spot guaranteeReservation;
 
-	int prepared;
+	int preparedCount;
 
-	int started;
+	int startedCount;
 
-	int ended;
+	int endedCount;
 
-	int booked;
+	int allocatedCount;
 
 	long stageSince;
 
@@ -64,10 +64,10 @@
 	long runningSince;
 
 	/** When all members had last checkpointed, 0 if never in this attempt. */
-	long checkpointAt;
+	long lastCheckpointAt;
 
 	/** Why it is being stopped. */
-	String why = "";
+	String stopReason = "";
 
 	Gang(JobState job, int number, int members) {
 		this.job = job;
--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 import org.almondmount.jobs.Assignment;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobSpec;
 import org.almondmount.model.Resources;
 
@@ -16,69 +16,70 @@
 final class GangRunner {
 
 	/** The pause grows to 256 times the first one. */
-	private static final int LARGEST_DOUBLING = 8;
+	private static final int MAX_DOUBLINGS = 8;
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	private final JobBook book;
+	private final JobRegistry registry;
 
 	private final WaitingJobs waiting;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
-	private final Health health;
+	private final WorkerHealth workerHealth;
 
-	private final RunTimes runTimes;
+	private final RunTimeEstimator runTimeEstimator;
 
 	/** Attempts that go on once starts are allowed again. */
-	private final List<Gang> held = new ArrayList<>();
+	private final List<Gang> deferred = new ArrayList<>();
 
-	GangRunner(Desk desk, Fleet fleet, JobBook book, WaitingJobs waiting, GuaranteeLedger ledger, Health health,
-			RunTimes runTimes) {
-		this.desk = desk;
+	GangRunner(SchedulerContext context, Fleet fleet, JobRegistry registry, WaitingJobs waiting,
+			GuaranteeLedger guaranteeAllocator, WorkerHealth workerHealth, RunTimeEstimator runTimeEstimator) {
+		this.context = context;
 		this.fleet = fleet;
-		this.book = book;
+		this.registry = registry;
 		this.waiting = waiting;
-		this.ledger = ledger;
-		this.health = health;
-		this.runTimes = runTimes;
+		this.guaranteeAllocator = guaranteeAllocator;
+		this.workerHealth = workerHealth;
+		this.runTimeEstimator = runTimeEstimator;
 	}
 
 	/**
 	 * Begins the next attempt of a waiting job.
 	 * @param job the job
-	 * @param places a worker for each member
-	 * @param spot the spot of its owner's guarantee in which it runs, null outside
+	 * @param workers a worker for each member
+	 * @param reservation the spot of its owner's guarantee in which it runs, null outside
 	 * @return the attempt
 	 */
-	Gang launch(JobState job, List<WorkerNode> places, Spot spot) {
+	Gang launch(JobState job, List<WorkerNode> workers, Spot reservation) {
 		this.waiting.remove(job);
-		job.idled = 0;
+		job.idleAcceleratorSeconds = 0;
 		job.lastAttempt++;
-		Gang gang = new Gang(job, job.lastAttempt, places.size());
-		gang.firm = spot != null || !job.isPreemptible();
+		Gang gang = new Gang(job, job.lastAttempt, workers.size());
+		gang.preemptionProtected = reservation != null || !job.isPreemptible();
 		job.current = gang;
-		for (int i = 0; i < places.size(); i++) {
-			Member member = new Member(gang, i, places.get(i).info.id());
-			member.worker = places.get(i);
+		for (int i = 0; i < workers.size(); i++) {
+			Member member = new Member(gang, i, workers.get(i).info.id());
+			member.worker = workers.get(i);
 			gang.members[i] = member;
 		}
-		if (spot != null) {
-			this.ledger.charge(spot, gang);
+		if (reservation != null) {
+			this.guaranteeAllocator.charge(reservation, gang);
 		}
 		for (Member member : gang.members) {
-			book(member);
+			allocate(member);
 		}
-		enter(gang, Gang.Stage.CLEARING);
-		clear(gang);
-		if (gang.stage == Gang.Stage.CLEARING) {
-			long patience = this.desk.policy.timeouts()
+		enterStage(gang, Gang.Stage.AWAITING_EVICTION);
+		commitIfFree(gang);
+		if (gang.stage == Gang.Stage.AWAITING_EVICTION) {
+			long timeoutMillis = this.context.policy.timeouts()
 				.checkpoint()
-				.plus(this.desk.policy.timeouts().abort())
+				.plus(this.context.policy.timeouts().abort())
 				.toMillis();
-			expect(gang, Gang.Stage.CLEARING, 2 * patience, "the room that it was promised did not get free in time");
+			scheduleStageTimeout(gang, Gang.Stage.AWAITING_EVICTION, 2 * timeoutMillis,
+					"the room that it was promised did not get free in time");
 		}
 		return gang;
 	}
@@ -87,8 +88,8 @@
 	 * Commits the placement if the room that it was promised is free by now.
 	 * @param gang the attempt
 	 */
-	void clear(Gang gang) {
-		if (gang.stage != Gang.Stage.CLEARING) {
+	void commitIfFree(Gang gang) {
+		if (gang.stage != Gang.Stage.AWAITING_EVICTION) {
 			return;
 		}
 		for (Member member : gang.members) {
@@ -96,70 +97,70 @@
 				return;
 			}
 		}
-		if (!this.desk.startsAllowed) {
-			this.held.add(gang);
+		if (!this.context.startsAllowed) {
+			this.deferred.add(gang);
 			return;
 		}
-		enter(gang, Gang.Stage.COMMITTING);
+		enterStage(gang, Gang.Stage.COMMITTING);
 		List<Assignment> placement = new ArrayList<>(gang.members.length);
 		for (Member member : gang.members) {
 			placement.add(new Assignment(member.index, member.workerId));
 		}
-		this.desk.send(new JobCommand.CommitPlacement(gang.attempt, gang.job.spec, List.copyOf(placement)));
-		expect(gang, Gang.Stage.COMMITTING, this.desk.policy.timeouts().commit().toMillis(),
+		this.context.send(new JobCommand.CommitPlacement(gang.attempt, gang.job.spec, List.copyOf(placement)));
+		scheduleStageTimeout(gang, Gang.Stage.COMMITTING, this.context.policy.timeouts().commit().toMillis(),
 				"the table did not take the placement in time");
 	}
 
-	void committed(Gang gang) {
+	void onPlacementCommitted(Gang gang) {
 		if (gang.stage != Gang.Stage.COMMITTING) {
 			return;
 		}
-		if (!this.desk.startsAllowed) {
-			this.held.add(gang);
+		if (!this.context.startsAllowed) {
+			this.deferred.add(gang);
 			return;
 		}
-		enter(gang, Gang.Stage.PREPARING);
+		enterStage(gang, Gang.Stage.PREPARING);
 		for (Member member : gang.members) {
-			this.desk.send(new JobCommand.Prepare(gang.attempt, member.index, member.workerId, gang.job.spec,
-					gang.job.checkpoint));
+			this.context.send(new JobCommand.Prepare(gang.attempt, member.index, member.workerId, gang.job.spec,
+					gang.job.hasCheckpoint));
 		}
-		expect(gang, Gang.Stage.PREPARING, this.desk.policy.timeouts().prepare().toMillis(),
+		scheduleStageTimeout(gang, Gang.Stage.PREPARING, this.context.policy.timeouts().prepare().toMillis(),
 				"not every worker held its member in time");
 	}
 
-	void prepared(Member member) {
+	void onMemberPrepared(Member member) {
 		Gang gang = member.gang;
 		if (gang.stage != Gang.Stage.PREPARING || member.prepared) {
 			return;
 		}
 		member.prepared = true;
-		gang.prepared++;
+		gang.preparedCount++;
 		startIfPrepared(gang);
 	}
 
-	void started(Member member) {
+	void onMemberStarted(Member member) {
 		Gang gang = member.gang;
 		if (gang.stage != Gang.Stage.STARTING || member.started) {
 			return;
 		}
 		member.started = true;
-		gang.started++;
-		if (gang.started == gang.members.length) {
-			enter(gang, Gang.Stage.RUNNING);
-			gang.runningSince = this.desk.now;
-			gang.job.setbacks = 0;
-			gang.job
-				.say("Attempt " + gang.attempt.number() + " runs on all of its " + gang.members.length + " members.");
+		gang.startedCount++;
+		if (gang.startedCount == gang.members.length) {
+			enterStage(gang, Gang.Stage.RUNNING);
+			gang.runningSince = this.context.now;
+			gang.job.consecutiveFailedStarts = 0;
+			gang.job.addExplanation(
+					"Attempt " + gang.attempt.number() + " runs on all of its " + gang.members.length + " members.");
 		}
 	}
 
 	/** Goes on with what was held while starts were not allowed. */
-	void resume() {
-		List<Gang> resumed = new ArrayList<>(this.held);
-		this.held.clear();
+	void resumeDeferred() {
+		List<Gang> resumed = new ArrayList<>(this.deferred);
+		this.deferred.clear();
 		for (Gang gang : resumed) {
-			clear(gang);
-			committed(gang);
+			commitIfFree(gang);
+			onPlacementCommitted(gang);
 			startIfPrepared(gang);
 		}
 	}
@@ -168,17 +169,17 @@
 	 * Ends an attempt that did not get whole, or is not whole any more: every member is
 	 * told to let go, and the job waits again or has its ending.
 	 * @param gang the attempt
-	 * @param why the reason, a sentence
-	 * @param setback whether the job pauses before its next attempt
+	 * @param reason the reason, a sentence
+	 * @param pauseBeforeRetry whether the job pauses before its next attempt
 	 */
-	void giveUp(Gang gang, String why, boolean setback) {
+	void abandonAndRequeue(Gang gang, String reason, boolean pauseBeforeRetry) {
 		boolean mayHaveRun = gang.mayHaveRun();
 		abandon(gang);
 		if (mayHaveRun && !gang.job.spec.repeatable()) {
-			this.book.finish(gang.job, Ending.UNKNOWN, "It may have run and may not be repeated: " + why);
+			this.registry.finish(gang.job, JobOutcome.UNKNOWN, "It may have run and may not be repeated: " + reason);
 			return;
 		}
-		this.book.requeue(gang, why, setback ? pause(gang.job) : 0);
+		this.registry.requeue(gang, reason, pauseBeforeRetry ? nextRetryPauseMillis(gang.job) : 0);
 	}
 
 	/**
@@ -186,24 +187,25 @@
 	 * @param gang the attempt
 	 */
 	void abandon(Gang gang) {
-		boolean workersKnow = gang.stage != Gang.Stage.CLEARING && gang.stage != Gang.Stage.COMMITTING;
+		boolean wasSentToWorkers = gang.stage != Gang.Stage.AWAITING_EVICTION && gang.stage != Gang.Stage.COMMITTING;
 		JobState job = gang.job;
-		enter(gang, Gang.Stage.ABANDONED);
+		enterStage(gang, Gang.Stage.ABANDONED);
 		job.current = null;
-		job.abandoned.add(gang);
+		job.abandonedGangs.add(gang);
 		for (Member member : gang.members) {
-			if (member.ending != null || member.worker == null) {
+			if (member.outcome != null || member.worker == null) {
 				release(member);
 			}
-			else if (!workersKnow || !member.worker.present) {
+			else if (!wasSentToWorkers || !member.worker.present) {
 				release(member);
 			}
-			else if (member.booked) {
+			else if (member.allocated) {
 				abort(member);
 			}
 		}
-		if (!forgetIfGone(gang)) {
-			this.desk.timers.at(this.desk.now + this.desk.policy.timeouts().abort().toMillis(), () -> letGo(gang));
+		if (!removeIfReleased(gang)) {
+			this.context.timers.schedule(this.context.now + this.context.policy.timeouts().abort().toMillis(),
+					() -> releaseUnanswered(gang));
 		}
 	}
 
@@ -211,24 +213,24 @@
 	 * Has a running attempt checkpoint and end, or stop if it can't checkpoint. Decided
 	 * when all members have ended.
 	 * @param gang the attempt
-	 * @param why the reason, a sentence
-	 * @param patienceMillis how long the checkpoint may take
+	 * @param reason the reason, a sentence
+	 * @param timeoutMillis how long the checkpoint may take
 	 */
-	void suspend(Gang gang, String why, long patienceMillis) {
+	void suspend(Gang gang, String reason, long timeoutMillis) {
 		if (gang.stage != Gang.Stage.RUNNING && gang.stage != Gang.Stage.STARTING) {
-			giveUp(gang, why, false);
+			abandonAndRequeue(gang, reason, false);
 			return;
 		}
-		enter(gang, Gang.Stage.STOPPING);
-		gang.why = why;
+		enterStage(gang, Gang.Stage.STOPPING);
+		gang.stopReason = reason;
 		boolean checkpoints = gang.job.spec.checkpoints();
 		for (Member member : gang.members) {
-			if (member.ending == null && checkpoints) {
-				this.desk.send(new JobCommand.Suspend(gang.attempt, member.index, member.workerId));
+			if (member.outcome == null && checkpoints) {
+				this.context.send(new JobCommand.Suspend(gang.attempt, member.index, member.workerId));
 			}
 		}
 		if (checkpoints) {
-			this.desk.timers.at(this.desk.now + patienceMillis, () -> stop(gang));
+			this.context.timers.schedule(this.context.now + timeoutMillis, () -> stop(gang));
 		}
 		else {
 			stop(gang);
@@ -238,167 +240,169 @@
 	/**
 	 * Has borrowers leave for somebody who goes before them.
 	 * @param victims the attempts
-	 * @param why the reason, a sentence
+	 * @param reason the reason, a sentence
 	 */
-	void evict(Iterable<Gang> victims, String why) {
+	void evict(Iterable<Gang> victims, String reason) {
 		for (Gang victim : victims) {
 			if (victim.isActive()) {
 				victim.job.preemptions++;
-				victim.job.movedAt = this.desk.now;
+				victim.job.lastPreemptedAt = this.context.now;
 			}
-			if (victim.spot != null) {
-				this.ledger.uncharge(victim);
+			if (victim.guaranteeReservation != null) {
+				this.guaranteeAllocator.uncharge(victim);
 				this.fleet.soften(victim);
 			}
-			suspend(victim, why, this.desk.policy.timeouts().checkpoint().toMillis());
+			suspend(victim, reason, this.context.policy.timeouts().checkpoint().toMillis());
 		}
 	}
 
 	/**
 	 * A worker says that a member is over.
 	 * @param member the member
-	 * @param ending how it ended
+	 * @param outcome how it ended
 	 */
-	void ended(Member member, Ending ending) {
+	void onMemberEnded(Member member, JobOutcome outcome) {
 		Gang gang = member.gang;
-		if (ending == Ending.SUCCEEDED) {
+		if (outcome == JobOutcome.SUCCEEDED) {
 			// The report of its start may have been lost; without it the gang would be
 			// given up as late to start although a member has done its work.
-			started(member);
+			onMemberStarted(member);
 		}
-		if (member.ending == null) {
-			member.ending = ending;
-			gang.ended++;
+		if (member.outcome == null) {
+			member.outcome = outcome;
+			gang.endedCount++;
 		}
 		release(member);
 		if (gang.stage == Gang.Stage.ABANDONED) {
-			forgetIfGone(gang);
+			removeIfReleased(gang);
 			return;
 		}
-		if (gang.stage == Gang.Stage.STOPPING || ending == Ending.SUCCEEDED) {
-			settleIfEnded(gang);
+		if (gang.stage == Gang.Stage.STOPPING || outcome == JobOutcome.SUCCEEDED) {
+			completeIfEnded(gang);
 			return;
 		}
-		if (ending == Ending.FAILED) {
-			failed(gang, member);
+		if (outcome == JobOutcome.FAILED) {
+			onProgramFailed(gang, member);
 			return;
 		}
-		if (ending == Ending.WORKER_FAILED) {
+		if (outcome == JobOutcome.WORKER_FAILED) {
 			member.neverRan = !member.started;
 			gang.job.avoid(member.workerId);
-			this.health.blame(member.worker, Health.COULD_NOT_RUN);
-			giveUp(gang, "worker " + member.workerId + " could not run member " + member.index, true);
+			this.workerHealth.recordFailure(member.worker, WorkerHealth.COULD_NOT_RUN_PENALTY);
+			abandonAndRequeue(gang, "worker " + member.workerId + " could not run member " + member.index, true);
 			return;
 		}
-		if (ending == Ending.SUSPENDED) {
+		if (outcome == JobOutcome.SUSPENDED) {
 			suspend(gang, "worker " + member.workerId + " suspended member " + member.index,
-					this.desk.policy.timeouts().zoneGrace().toMillis());
-			settleIfEnded(gang);
+					this.context.policy.timeouts().zoneGrace().toMillis());
+			completeIfEnded(gang);
 			return;
 		}
-		giveUp(gang, "member " + member.index + " ended as " + ending + " on worker " + member.workerId, false);
+		abandonAndRequeue(gang, "member " + member.index + " ended as " + outcome + " on worker " + member.workerId,
+				false);
 	}
 
 	/**
 	 * A member's checkpoint is safe; the job can go on from there once all members' are.
 	 * @param member the member
 	 */
-	void checkpointed(Member member) {
+	void onMemberCheckpointed(Member member) {
 		member.checkpointed = true;
 		for (Member other : member.gang.members) {
 			if (!other.checkpointed) {
 				return;
 			}
 		}
-		member.gang.job.checkpoint = true;
-		member.gang.checkpointAt = this.desk.now;
+		member.gang.job.hasCheckpoint = true;
+		member.gang.lastCheckpointAt = this.context.now;
 		for (Member other : member.gang.members) {
 			other.checkpointed = false;
 		}
 	}
 
 	void abort(Member member) {
-		this.desk.send(new JobCommand.Abort(member.gang.attempt, member.index, member.workerId));
+		this.context.send(new JobCommand.Abort(member.gang.attempt, member.index, member.workerId));
 	}
 
 	/**
 	 * A worker says that nothing of a member ran there.
 	 * @param member the member
-	 * @param why the reason, a sentence
+	 * @param reason the reason, a sentence
 	 */
-	void refused(Member member, String why) {
+	void onMemberRefused(Member member, String reason) {
 		member.neverRan = true;
 		Gang gang = member.gang;
 		if (gang.stage == Gang.Stage.ABANDONED || gang.stage == Gang.Stage.STOPPING) {
-			ended(member, Ending.STOPPED);
+			onMemberEnded(member, JobOutcome.STOPPED);
 			return;
 		}
-		member.ending = Ending.STOPPED;
-		gang.ended++;
+		member.outcome = JobOutcome.STOPPED;
+		gang.endedCount++;
 		release(member);
-		this.health.blame(member.worker, Health.NO_ANSWER);
-		giveUp(gang, "worker " + member.workerId + " did not take member " + member.index + ": " + why, true);
+		this.workerHealth.recordFailure(member.worker, WorkerHealth.NO_ANSWER_PENALTY);
+		abandonAndRequeue(gang, "worker " + member.workerId + " did not take member " + member.index + ": " + reason,
+				true);
 	}
 
 	/**
 	 * A worker is gone, and the member with it.
 	 * @param member the member
 	 */
-	void lost(Member member) {
+	void onMemberLost(Member member) {
 		Gang gang = member.gang;
 		if (gang.stage == Gang.Stage.ABANDONED || gang.stage == Gang.Stage.STOPPING) {
-			ended(member, Ending.UNKNOWN);
+			onMemberEnded(member, JobOutcome.UNKNOWN);
 			return;
 		}
 		release(member);
-		giveUp(gang, "worker " + member.workerId + " was lost with member " + member.index, false);
+		abandonAndRequeue(gang, "worker " + member.workerId + " was lost with member " + member.index, false);
 	}
 
-	void book(Member member) {
+	void allocate(Member member) {
 		this.fleet.book(member);
 		charge(member, 1);
 	}
 
 	private void release(Member member) {
-		if (!member.booked) {
+		if (!member.allocated) {
 			return;
 		}
 		this.fleet.release(member);
-		this.ledger.release(member);
+		this.guaranteeAllocator.release(member);
 		charge(member, -1);
-		clearOthers(member.worker);
+		commitOthersIfFree(member.worker);
 	}
 
 	private void charge(Member member, int times) {
 		CustomerQueue customer = this.waiting.customer(member.gang.job.spec.customer());
-		customer.shareChanges(this.desk.now, this.fleet.dominantShare(customer.used));
+		customer.updateAverageShare(this.context.now, this.fleet.dominantShare(customer.used));
 		customer.used.add(need(member), times);
-		customer.changes++;
+		customer.changeCount++;
 	}
 
-	private void clearOthers(WorkerNode worker) {
+	private void commitOthersIfFree(WorkerNode worker) {
 		if (worker.isOverbooked()) {
 			return;
 		}
 		for (Member other : new ArrayList<>(worker.members)) {
-			clear(other.gang);
+			commitIfFree(other.gang);
 		}
 	}
 
 	private void startIfPrepared(Gang gang) {
-		if (gang.stage != Gang.Stage.PREPARING || gang.prepared < gang.members.length) {
+		if (gang.stage != Gang.Stage.PREPARING || gang.preparedCount < gang.members.length) {
 			return;
 		}
-		if (!this.desk.startsAllowed) {
-			this.held.add(gang);
+		if (!this.context.startsAllowed) {
+			this.deferred.add(gang);
 			return;
 		}
-		enter(gang, Gang.Stage.STARTING);
+		enterStage(gang, Gang.Stage.STARTING);
 		for (Member member : gang.members) {
 			member.startSent = true;
-			this.desk.send(new JobCommand.Start(gang.attempt, member.index, member.workerId));
+			this.context.send(new JobCommand.Start(gang.attempt, member.index, member.workerId));
 		}
-		expect(gang, Gang.Stage.STARTING, this.desk.policy.timeouts().start().toMillis(),
+		scheduleStageTimeout(gang, Gang.Stage.STARTING, this.context.policy.timeouts().start().toMillis(),
 				"not every member reported in time that it runs");
 	}
 
@@ -407,11 +411,12 @@
 			return;
 		}
 		for (Member member : gang.members) {
-			if (member.ending == null) {
-				this.desk.send(new JobCommand.Stop(gang.attempt, member.index, member.workerId));
+			if (member.outcome == null) {
+				this.context.send(new JobCommand.Stop(gang.attempt, member.index, member.workerId));
 			}
 		}
-		this.desk.timers.at(this.desk.now + this.desk.policy.timeouts().abort().toMillis(), () -> letGo(gang));
+		this.context.timers.schedule(this.context.now + this.context.policy.timeouts().abort().toMillis(),
+				() -> releaseUnanswered(gang));
 	}
 
 	/**
@@ -419,102 +424,104 @@
 	 * task has run out by then, so that the room is really free.
 	 * @param gang the attempt
 	 */
-	private void letGo(Gang gang) {
+	private void releaseUnanswered(Gang gang) {
 		if (gang.stage != Gang.Stage.STOPPING && gang.stage != Gang.Stage.ABANDONED) {
 			return;
 		}
 		for (Member member : gang.members) {
-			if (member.ending == null) {
-				ended(member, Ending.UNKNOWN);
+			if (member.outcome == null) {
+				onMemberEnded(member, JobOutcome.UNKNOWN);
 			}
 		}
 	}
 
-	private void settleIfEnded(Gang gang) {
-		if (gang.ended < gang.members.length) {
+	private void completeIfEnded(Gang gang) {
+		if (gang.endedCount < gang.members.length) {
 			return;
 		}
-		gang.job.ranMillis += (gang.runningSince != 0) ? this.desk.now - gang.runningSince : 0;
+		gang.job.ranMillis += (gang.runningSince != 0) ? this.context.now - gang.runningSince : 0;
 		boolean succeeded = true;
-		boolean safe = gang.job.spec.repeatable();
+		boolean repeatable = gang.job.spec.repeatable();
 		boolean suspended = true;
 		for (Member member : gang.members) {
-			succeeded &= member.ending == Ending.SUCCEEDED;
-			suspended &= member.ending == Ending.SUCCEEDED || member.ending == Ending.SUSPENDED;
+			succeeded &= member.outcome == JobOutcome.SUCCEEDED;
+			suspended &= member.outcome == JobOutcome.SUCCEEDED || member.outcome == JobOutcome.SUSPENDED;
 		}
 		JobState job = gang.job;
 		job.current = null;
-		enter(gang, Gang.Stage.ABANDONED);
+		enterStage(gang, Gang.Stage.ABANDONED);
 		if (succeeded) {
-			this.health.succeeded(gang);
-			this.runTimes.learn(job.spec, job.ranMillis);
-			this.book.finish(job, Ending.SUCCEEDED, "all members ran to their end");
+			this.workerHealth.recordSuccess(gang);
+			this.runTimeEstimator.recordRunTime(job.spec, job.ranMillis);
+			this.registry.finish(job, JobOutcome.SUCCEEDED, "all members ran to their end");
 			return;
 		}
-		job.checkpoint |= suspended;
-		if (!safe && !suspended && gang.mayHaveRun()) {
-			this.book.finish(job, Ending.UNKNOWN, "It may have run and may not be repeated: " + gang.why);
+		job.hasCheckpoint |= suspended;
+		if (!repeatable && !suspended && gang.mayHaveRun()) {
+			this.registry.finish(job, JobOutcome.UNKNOWN,
+					"It may have run and may not be repeated: " + gang.stopReason);
 			return;
 		}
-		this.book.requeue(gang, gang.why, 0);
+		this.registry.requeue(gang, gang.stopReason, 0);
 	}
 
-	private void failed(Gang gang, Member member) {
+	private void onProgramFailed(Gang gang, Member member) {
 		JobState job = gang.job;
-		job.failures++;
-		this.health.programFailed(job, member.worker);
+		job.programFailures++;
+		this.workerHealth.recordProgramFailure(job, member.worker);
 		abandon(gang);
-		int limit = this.desk.policy.limits().healthyWorkersTried();
+		int limit = this.context.policy.limits().healthyWorkersTried();
 		if (!job.spec.repeatable()) {
-			this.book.finish(job, Ending.FAILED, "member " + member.index + " failed, and it may not be repeated");
+			this.registry.finish(job, JobOutcome.FAILED,
+					"member " + member.index + " failed, and it may not be repeated");
 			return;
 		}
-		if (job.failures >= limit) {
-			this.book.finish(job, Ending.FAILED, "its own program failed " + job.failures
+		if (job.programFailures >= limit) {
+			this.registry.finish(job, JobOutcome.FAILED, "its own program failed " + job.programFailures
 					+ " times on different workers, last on " + member.workerId);
 			return;
 		}
-		this.book.requeue(gang, "its own program failed on worker " + member.workerId, pause(job));
+		this.registry.requeue(gang, "its own program failed on worker " + member.workerId, nextRetryPauseMillis(job));
 	}
 
-	private boolean forgetIfGone(Gang gang) {
-		if (gang.booked > 0) {
+	private boolean removeIfReleased(Gang gang) {
+		if (gang.allocatedCount > 0) {
 			return false;
 		}
-		gang.job.abandoned.remove(gang);
-		this.book.enqueue(gang.job);
+		gang.job.abandonedGangs.remove(gang);
+		this.registry.enqueue(gang.job);
 		return true;
 	}
 
-	private void expect(Gang gang, Gang.Stage stage, long millis, String why) {
-		this.desk.timers.at(this.desk.now + millis, () -> {
+	private void scheduleStageTimeout(Gang gang, Gang.Stage stage, long millis, String reason) {
+		this.context.timers.schedule(this.context.now + millis, () -> {
 			if (gang.stage == stage) {
-				blameSilent(gang, stage);
-				giveUp(gang, why, true);
+				recordUnresponsiveWorkers(gang, stage);
+				abandonAndRequeue(gang, reason, true);
 			}
 		});
 	}
 
-	private void blameSilent(Gang gang, Gang.Stage stage) {
+	private void recordUnresponsiveWorkers(Gang gang, Gang.Stage stage) {
 		for (Member member : gang.members) {
 			boolean silent = (stage == Gang.Stage.PREPARING && !member.prepared)
 					|| (stage == Gang.Stage.STARTING && !member.started);
 			if (silent) {
-				this.health.blame(member.worker, Health.NO_ANSWER);
+				this.workerHealth.recordFailure(member.worker, WorkerHealth.NO_ANSWER_PENALTY);
 			}
 		}
 	}
 
-	private void enter(Gang gang, Gang.Stage stage) {
+	private void enterStage(Gang gang, Gang.Stage stage) {
 		gang.stage = stage;
-		gang.stageSince = this.desk.now;
-		gang.job.since = this.desk.now;
+		gang.stageSince = this.context.now;
+		gang.job.phaseSince = this.context.now;
 	}
 
-	private long pause(JobState job) {
-		int doublings = Math.min(job.setbacks, LARGEST_DOUBLING);
-		job.setbacks++;
-		return this.desk.policy.timeouts().retryPause().toMillis() << doublings;
+	private long nextRetryPauseMillis(JobState job) {
+		int doublings = Math.min(job.consecutiveFailedStarts, MAX_DOUBLINGS);
+		job.consecutiveFailedStarts++;
+		return this.context.policy.timeouts().retryPause().toMillis() << doublings;
 	}
 
 	private static Resources need(Member member) {
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeLedger.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeLedger.java
@@ -46,7 +46,7 @@
 
 	private static final double LONGEST_HOLD_MILLIS = 30_000;
 
-	private final Desk desk;
+	private final SchedulerContext desk;
 
 	private final Fleet fleet;
 
@@ -61,7 +61,7 @@
 
 	private long nextLayOutAgain = Long.MIN_VALUE;
 
-	GuaranteeLedger(Desk desk, Fleet fleet, Placer placer) {
+	GuaranteeLedger(SchedulerContext desk, Fleet fleet, Placer placer) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.placer = placer;
@@ -253,7 +253,7 @@
 	 */
 	void charge(Spot spot, Gang gang) {
 		hold(spot, false);
-		gang.spot = spot;
+		gang.guaranteeReservation = spot;
 		spot.users.add(gang);
 		count(spot, gang, 1);
 	}
@@ -263,7 +263,7 @@
 	 * @param member the member
 	 */
 	void release(Member member) {
-		Spot spot = member.gang.spot;
+		Spot spot = member.gang.guaranteeReservation;
 		if (spot == null) {
 			return;
 		}
@@ -271,7 +271,7 @@
 		if (part != null) {
 			count(part, member.gang.job.spec.shape().perMember(), -1);
 		}
-		if (member.gang.booked > 0) {
+		if (member.gang.allocatedCount > 0) {
 			return;
 		}
 		closeUse(member.gang, spot);
@@ -282,9 +282,9 @@
 	 * @param gang the attempt
 	 */
 	void uncharge(Gang gang) {
-		Spot spot = gang.spot;
+		Spot spot = gang.guaranteeReservation;
 		for (Member member : gang.members) {
-			Spot.Part part = member.booked ? part(spot, member.worker) : null;
+			Spot.Part part = member.allocated ? part(spot, member.worker) : null;
 			if (part != null) {
 				count(part, gang.job.spec.shape().perMember(), -1);
 			}
@@ -293,7 +293,7 @@
 	}
 
 	private void closeUse(Gang gang, Spot spot) {
-		gang.spot = null;
+		gang.guaranteeReservation = null;
 		spot.users.remove(gang);
 		this.changed.add(spot.customer);
 		if (spot.isVacant() && spot.isPlaced()) {
@@ -368,14 +368,15 @@
 	 * @param spot the spot
 	 */
 	private void holdAfterUse(Spot spot) {
-		long millis = (long) Math.min(LONGEST_HOLD_MILLIS, 1000 * spot.lastLoss / Evictor.size(spot.shape));
-		if (millis <= 0 || !this.desk.policy.has(JobFeature.SPOT_KEEPING)) {
+		long millis = (long) Math.min(LONGEST_HOLD_MILLIS,
+				1000 * spot.lastLoss / Evictor.acceleratorEquivalents(spot.shape));
+		if (millis <= 0 || !this.desk.policy.isEnabled(JobFeature.SPOT_KEEPING)) {
 			return;
 		}
 		hold(spot, true);
 		spot.holds++;
 		int holds = spot.holds;
-		this.desk.timers.at(this.desk.now + millis, () -> {
+		this.desk.timers.schedule(this.desk.now + millis, () -> {
 			if (spot.holds == holds && spot.held) {
 				hold(spot, false);
 				spot.lastLoss = 0;
@@ -490,7 +491,7 @@
 
 	private static boolean holdsSmallOnly(Spot spot) {
 		for (Gang gang : spot.users) {
-			boolean small = Evictor.size(gang.job) * 2 < Evictor.size(spot.shape);
+			boolean small = Evictor.acceleratorEquivalents(gang.job) * 2 < Evictor.acceleratorEquivalents(spot.shape);
 			if (!small || !gang.job.isPreemptible() || !gang.isActive()) {
 				return false;
 			}
@@ -511,7 +512,7 @@
 
 	private void count(Spot spot, Gang gang, int times) {
 		for (Member member : gang.members) {
-			Spot.Part part = (member.ending == null) ? part(spot, member.worker) : null;
+			Spot.Part part = (member.outcome == null) ? part(spot, member.worker) : null;
 			if (part != null) {
 				count(part, gang.job.spec.shape().perMember(), times);
 			}
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteedStart.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteedStart.java
@@ -15,7 +15,7 @@
 	/** Spots of one customer that are compared for one job. */
 	private static final int SPOTS_COMPARED = 16;
 
-	private final Desk desk;
+	private final SchedulerContext desk;
 
 	private final Fleet fleet;
 
@@ -27,7 +27,8 @@
 
 	private final GangRunner runner;
 
-	GuaranteedStart(Desk desk, Fleet fleet, Placer placer, GuaranteeLedger ledger, Evictor evictor, GangRunner runner) {
+	GuaranteedStart(SchedulerContext desk, Fleet fleet, Placer placer, GuaranteeLedger ledger, Evictor evictor,
+			GangRunner runner) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.placer = placer;
@@ -135,7 +136,7 @@
 		if (free == null) {
 			Evictor.Eviction cheapest = this.evictor.cheapest(spot.shape, Room.RECLAIMABLE, mayLeave(job),
 					GuaranteeLedger.TRUSTED);
-			free = (cheapest != null && cheapest.loss() < here.loss()) ? cheapest.places() : null;
+			free = (cheapest != null && cheapest.loss() < here.loss()) ? cheapest.workers() : null;
 		}
 		this.ledger.place(spot, (free != null) ? free : before);
 		List<WorkerNode> inside = (free != null) ? this.ledger.inside(job.spec.shape(), spot) : null;
@@ -182,7 +183,7 @@
 	 */
 	private static Predicate<Gang> mayLeave(JobState job) {
 		boolean urgent = job.spec.urgency() == Urgency.URGENT;
-		return (gang) -> !gang.firm && (urgent || !gang.job.spec.customer().equals(job.spec.customer()));
+		return (gang) -> !gang.preemptionProtected && (urgent || !gang.job.spec.customer().equals(job.spec.customer()));
 	}
 
 	private boolean ownMayLeave(Spot spot, JobState job) {
@@ -192,7 +193,7 @@
 		}
 		for (Gang own : spot.users) {
 			boolean may = own.job.spec.urgency() == Urgency.NORMAL && own.job.isPreemptible() && own.isActive();
-			boolean small = !isLarge(own.job, spot) && !this.evictor.movedLately(own);
+			boolean small = !isLarge(own.job, spot) && !this.evictor.wasRecentlyPreempted(own);
 			if (!may || !(urgent || small)) {
 				return false;
 			}
@@ -206,12 +207,12 @@
 	}
 
 	private static boolean isLarge(JobState job, Spot spot) {
-		return Evictor.size(job) * 2 >= Evictor.size(spot.shape);
+		return Evictor.acceleratorEquivalents(job) * 2 >= Evictor.acceleratorEquivalents(spot.shape);
 	}
 
 	private void launch(JobState job, Spot spot, Evictor.Eviction eviction) {
 		spot.lastLoss = Math.max(spot.lastLoss, eviction.loss());
-		this.runner.launch(job, eviction.places(), spot);
+		this.runner.launch(job, eviction.workers(), spot);
 		this.runner.evict(eviction.victims(),
 				"customer " + job.spec.customer() + " reclaims a guaranteed shape for job " + job.id);
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/JobState.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/JobState.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 import org.almondmount.jobs.Assignment;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobView;
 import org.almondmount.model.JobId;
 import org.almondmount.model.JobSpec;
@@ -17,14 +17,14 @@
  */
 final class JobState {
 
-	private static final int SENTENCES_KEPT = 12;
+	private static final int MAX_EXPLANATIONS = 12;
 
 	final JobId id;
 
 	final JobSpec spec;
 
 	/** Its place in the order of submission; kept when it is requeued. */
-	final long order;
+	final long submissionOrder;
 
 	final long submittedAt;
 
@@ -35,28 +35,28 @@
 	Gang current;
 
 	/** Attempts that were given up and whose room is still booked. */
-	final List<Gang> abandoned = new ArrayList<>(0);
+	final List<Gang> abandonedGangs = new ArrayList<>(0);
 
 	/** Its line in the queue while it waits there, null otherwise. */
 	ShapeQueue queue;
 
-	boolean checkpoint;
+	boolean hasCheckpoint;
 
-	Ending ending;
+	JobOutcome outcome;
 
-	long since;
+	long phaseSince;
 
 	long notBefore;
 
 	/** How often its own program failed. */
-	int failures;
+	int programFailures;
 
 	/** Attempts in a row that did not get to run. */
-	int setbacks;
+	int consecutiveFailedStarts;
 
 	int preemptions;
 
-	long movedAt = Long.MIN_VALUE;
+	long lastPreemptedAt = Long.MIN_VALUE;
 
 	/** How long it ran to its end or to a checkpoint, over all attempts. */
 	long ranMillis;
@@ -64,25 +64,25 @@
 	/**
 	 * How much room stood idle because it could not start there, in accelerator seconds.
 	 */
-	double idled;
+	double idleAcceleratorSeconds;
 
 	/** Until when no room is reserved for it, because the last was late. */
-	long reserveAfter;
+	long noReservationBefore;
 
 	/** Workers that could not run it. */
-	final Set<WorkerId> avoided = new HashSet<>(0);
+	final Set<WorkerId> avoidedWorkers = new HashSet<>(0);
 
 	/** Healthy workers on which its own program failed. */
-	final Set<WorkerId> failedOn = new HashSet<>(0);
+	final Set<WorkerId> programFailedOn = new HashSet<>(0);
 
-	private final List<String> sentences = new ArrayList<>(2);
+	private final List<String> explanations = new ArrayList<>(2);
 
-	JobState(JobId id, JobSpec spec, long order, long submittedAt) {
+	JobState(JobId id, JobSpec spec, long submissionOrder, long submittedAt) {
 		this.id = id;
 		this.spec = spec;
-		this.order = order;
+		this.submissionOrder = submissionOrder;
 		this.submittedAt = submittedAt;
-		this.since = submittedAt;
+		this.phaseSince = submittedAt;
 	}
 
 	/**
@@ -97,7 +97,7 @@
 		if (this.current != null && this.current.attempt.number() == number) {
 			return this.current;
 		}
-		for (Gang gang : this.abandoned) {
+		for (Gang gang : this.abandonedGangs) {
 			if (gang.attempt.number() == number) {
 				return gang;
 			}
@@ -106,46 +106,47 @@
 	}
 
 	void avoid(WorkerId worker) {
-		this.avoided.add(worker);
+		this.avoidedWorkers.add(worker);
 	}
 
 	boolean avoids(WorkerId worker) {
-		return this.avoided.contains(worker) || this.failedOn.contains(worker);
+		return this.avoidedWorkers.contains(worker) || this.programFailedOn.contains(worker);
 	}
 
-	void say(String sentence) {
-		if (!this.sentences.isEmpty() && this.sentences.get(this.sentences.size() - 1).equals(sentence)) {
+	void addExplanation(String explanation) {
+		if (!this.explanations.isEmpty() && this.explanations.get(this.explanations.size() - 1).equals(explanation)) {
 			return;
 		}
-		if (this.sentences.size() == SENTENCES_KEPT) {
-			this.sentences.remove(1);
+		if (this.explanations.size() == MAX_EXPLANATIONS) {
+			this.explanations.remove(1);
 		}
-		this.sentences.add(sentence);
+		this.explanations.add(explanation);
 	}
 
-	List<String> sentences() {
-		return this.sentences;
+	List<String> explanations() {
+		return this.explanations;
 	}
 
-	JobView view(String why) {
+	JobView view(String explanation) {
 		List<Assignment> placement = new ArrayList<>();
 		if (this.current != null) {
 			for (Member member : this.current.members) {
 				placement.add(new Assignment(member.index, member.workerId));
 			}
 		}
-		return new JobView(this.id, this.spec, phase(), this.lastAttempt, List.copyOf(placement), why, this.since);
+		return new JobView(this.id, this.spec, phase(), this.lastAttempt, List.copyOf(placement), explanation,
+				this.phaseSince);
 	}
 
 	JobView.Phase phase() {
-		if (this.ending != null) {
+		if (this.outcome != null) {
 			return JobView.Phase.ENDED;
 		}
 		if (this.current == null) {
 			return JobView.Phase.WAITING;
 		}
 		return switch (this.current.stage) {
-			case CLEARING, COMMITTING, PREPARING, STARTING -> JobView.Phase.STARTING;
+			case AWAITING_EVICTION, COMMITTING, PREPARING, STARTING -> JobView.Phase.STARTING;
 			case RUNNING -> JobView.Phase.RUNNING;
 			case STOPPING, ABANDONED -> JobView.Phase.STOPPING;
 		};
--- a/core/src/main/java/org/almondmount/jobs/impl/Member.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Member.java
@@ -1,6 +1,6 @@
 package org.almondmount.jobs.impl;
 
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.WorkerId;
 
 /**
@@ -18,7 +18,7 @@
 	WorkerNode worker;
 
 	/** Whether its room is booked on the worker. */
-	boolean booked;
+	boolean allocated;
 
 	boolean prepared;
 
@@ -38,7 +38,7 @@
 	long throttledAt;
 
 	/** How its task ended, null until it has. */
-	Ending ending;
+	JobOutcome outcome;
 
 	Member(Gang gang, int index, WorkerId workerId) {
 		this.gang = gang;
--- a/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
@@ -27,61 +27,62 @@
  */
 final class PlanPreview {
 
-	private static final int SENTENCES = 20;
+	private static final int MAX_AT_RISK_SHOWN = 20;
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	private final JobBook book;
+	private final JobRegistry registry;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
 	private final Evictor evictor;
 
 	private final Placer placer;
 
-	PlanPreview(Desk desk, Fleet fleet, JobBook book, GuaranteeLedger ledger, Evictor evictor, Placer placer) {
-		this.desk = desk;
+	PlanPreview(SchedulerContext context, Fleet fleet, JobRegistry registry, GuaranteeLedger guaranteeAllocator,
+			Evictor evictor, Placer placer) {
+		this.context = context;
 		this.fleet = fleet;
-		this.book = book;
-		this.ledger = ledger;
+		this.registry = registry;
+		this.guaranteeAllocator = guaranteeAllocator;
 		this.evictor = evictor;
 		this.placer = placer;
 	}
 
 	PlanEffects preview(Intent intent) {
-		Configuration planned = intent.applyTo(this.desk.configuration);
-		EmptyLayout layout = new EmptyLayout(this.fleet, planned, this.desk.policy);
+		Configuration planned = intent.applyTo(this.context.configuration);
+		EmptyLayout layout = new EmptyLayout(this.fleet, planned, this.context.policy);
 		if (intent instanceof Intent.PutCustomer put) {
-			return putCustomer(put.customer(), planned, layout);
+			return previewPutCustomer(put.customer(), planned, layout);
 		}
 		if (intent instanceof Intent.RemoveCustomer remove) {
-			return removeCustomer(remove.customer());
+			return previewRemoveCustomer(remove.customer());
 		}
 		if (intent instanceof Intent.SetZone zone && !zone.state().acceptsWork()) {
-			return zoneOut(zone.zone(), layout);
+			return previewZoneOut(zone.zone(), layout);
 		}
 		if (intent instanceof Intent.SetZone zone) {
-			return remarks(List.of("Waiting work is placed in zone " + zone.zone()
+			return effectsWithRemarks(List.of("Waiting work is placed in zone " + zone.zone()
 					+ " first; nothing that runs is moved back without need."), layout.atRisk());
 		}
-		return remarks(List.of("It is in force as soon as it is confirmed; no running work is touched."),
+		return effectsWithRemarks(List.of("It is in force as soon as it is confirmed; no running work is touched."),
 				layout.atRisk());
 	}
 
-	private PlanEffects putCustomer(Customer customer, Configuration planned, EmptyLayout layout) {
-		if (!layout.unplaced().isEmpty() && !onlyLess(customer)) {
-			return refused(layout.explainMisfit(customer.id()));
+	private PlanEffects previewPutCustomer(Customer customer, Configuration planned, EmptyLayout layout) {
+		if (!layout.unplaced().isEmpty() && !onlyReducesGuarantees(customer)) {
+			return refusedEffects(layout.explainMisfit(customer.id()));
 		}
 		List<String> remarks = new ArrayList<>();
-		remarks.add("All " + count(planned) + " guaranteed gangs of " + planned.customers().size()
+		remarks.add("All " + countGuaranteedGangs(planned) + " guaranteed gangs of " + planned.customers().size()
 				+ " customers can be laid out at the same time.");
-		if (runsOnceOnly()) {
+		if (isNonRepeatableWorkRunning()) {
 			remarks.add("Work that may not be repeated is left where it runs; a new spot under it is ready"
 					+ " when it has ended.");
 		}
-		return remarks(remarks, layout.atRisk());
+		return effectsWithRemarks(remarks, layout.atRisk());
 	}
 
 	/**
@@ -89,14 +90,14 @@
 	 * @param customer the customer
 	 * @return true if so
 	 */
-	private boolean onlyLess(Customer customer) {
-		Customer before = this.desk.configuration.customers().get(customer.id());
-		Map<GangShape, Integer> had = new HashMap<>();
+	private boolean onlyReducesGuarantees(Customer customer) {
+		Customer before = this.context.configuration.customers().get(customer.id());
+		Map<GangShape, Integer> previousGangs = new HashMap<>();
 		if (before != null) {
-			before.guarantees().forEach((each) -> had.merge(each.shape(), each.gangs(), Integer::sum));
+			before.guarantees().forEach((each) -> previousGangs.merge(each.shape(), each.gangs(), Integer::sum));
 		}
 		for (GuaranteedShape guarantee : customer.guarantees()) {
-			int left = had.merge(guarantee.shape(), -guarantee.gangs(), Integer::sum);
+			int left = previousGangs.merge(guarantee.shape(), -guarantee.gangs(), Integer::sum);
 			if (left < 0) {
 				return false;
 			}
@@ -104,10 +105,10 @@
 		return true;
 	}
 
-	private PlanEffects removeCustomer(CustomerId customer) {
+	private PlanEffects previewRemoveCustomer(CustomerId customer) {
 		List<JobId> stops = new ArrayList<>();
-		for (JobState job : this.book.jobs()) {
-			if (job.ending == null && job.spec.customer().equals(customer)) {
+		for (JobState job : this.registry.jobs()) {
+			if (job.outcome == null && job.spec.customer().equals(customer)) {
 				stops.add(job.id);
 			}
 		}
@@ -115,24 +116,24 @@
 				List.of("Its waiting and running jobs are cancelled and its guaranteed shapes are given up."));
 	}
 
-	private PlanEffects zoneOut(ZoneId id, EmptyLayout layout) {
+	private PlanEffects previewZoneOut(ZoneId id, EmptyLayout layout) {
 		ZoneNode zone = this.fleet.zone(id);
 		List<JobId> moves = new ArrayList<>();
 		List<JobId> stops = new ArrayList<>();
-		Map<WorkerNode, Amount> promised = new HashMap<>();
-		int leftToEnd = 0;
+		Map<WorkerNode, Amount> allocations = new HashMap<>();
+		int withoutCheckpoints = 0;
 		for (Gang gang : gangs(zone)) {
-			boolean room = findRoom(gang, zone, promised);
+			boolean fits = fitsElsewhere(gang, zone, allocations);
 			boolean mayMove = gang.job.spec.checkpoints() || gang.job.spec.repeatable();
-			((room && mayMove) ? moves : stops).add(gang.job.id);
-			leftToEnd += gang.job.spec.checkpoints() ? 0 : 1;
+			((fits && mayMove) ? moves : stops).add(gang.job.id);
+			withoutCheckpoints += gang.job.spec.checkpoints() ? 0 : 1;
 		}
 		List<String> remarks = new ArrayList<>();
 		remarks.add("Nothing starts in zone " + id + " from the moment it is confirmed.");
 		remarks.add(moves.size() + " jobs checkpoint and find room elsewhere now, " + stops.size()
 				+ " have to stop and wait.");
-		if (leftToEnd > 0) {
-			remarks.add(leftToEnd + " jobs can't checkpoint: they may run on until the zone's grace is over.");
+		if (withoutCheckpoints > 0) {
+			remarks.add(withoutCheckpoints + " jobs can't checkpoint: they may run on until the zone's grace is over.");
 		}
 		return new PlanEffects(Optional.empty(), moves, stops, layout.atRisk(), remarks);
 	}
@@ -150,24 +151,26 @@
 		return sorted;
 	}
 
-	private boolean findRoom(Gang gang, ZoneNode without, Map<WorkerNode, Amount> promised) {
+	private boolean fitsElsewhere(Gang gang, ZoneNode excludedZone, Map<WorkerNode, Amount> allocations) {
 		Resources need = gang.job.spec.shape().perMember();
-		List<WorkerNode> places = this.placer.find(gang.job.spec.shape(), Room.OPEN, (worker) -> {
-			Amount taken = promised.get(worker);
-			boolean left = taken == null || Room.OPEN.accelerators(worker) - taken.accelerators >= need.accelerators();
-			return left && worker.rack.zone != without;
+		List<WorkerNode> workers = this.placer.find(gang.job.spec.shape(), Room.OPEN, (worker) -> {
+			Amount taken = allocations.get(worker);
+			boolean enoughLeft = taken == null
+					|| Room.OPEN.accelerators(worker) - taken.accelerators >= need.accelerators();
+			return enoughLeft && worker.rack.zone != excludedZone;
 		});
-		if (places == null) {
-			return gang.firm && !this.ledger.unplaced().contains(gang.spot) && gang.spot != null;
+		if (workers == null) {
+			return gang.preemptionProtected && !this.guaranteeAllocator.unplaced().contains(gang.guaranteeReservation)
+					&& gang.guaranteeReservation != null;
 		}
-		for (WorkerNode worker : places) {
-			promised.computeIfAbsent(worker, (node) -> new Amount()).add(need, 1);
+		for (WorkerNode worker : workers) {
+			allocations.computeIfAbsent(worker, (node) -> new Amount()).add(need, 1);
 		}
 		return true;
 	}
 
-	private boolean runsOnceOnly() {
-		for (JobState job : this.book.jobs()) {
+	private boolean isNonRepeatableWorkRunning() {
+		for (JobState job : this.registry.jobs()) {
 			if (job.current != null && !job.spec.repeatable()) {
 				return true;
 			}
@@ -175,17 +178,17 @@
 		return false;
 	}
 
-	private static PlanEffects refused(String detail) {
+	private static PlanEffects refusedEffects(String detail) {
 		Refusal refusal = Refusal.notRun(RefusalReason.GUARANTEE_DOES_NOT_FIT, detail);
 		return new PlanEffects(Optional.of(refusal), List.of(), List.of(), List.of(), List.of());
 	}
 
-	private static PlanEffects remarks(List<String> remarks, List<String> atRisk) {
-		List<String> shown = (atRisk.size() > SENTENCES) ? atRisk.subList(0, SENTENCES) : atRisk;
+	private static PlanEffects effectsWithRemarks(List<String> remarks, List<String> atRisk) {
+		List<String> shown = (atRisk.size() > MAX_AT_RISK_SHOWN) ? atRisk.subList(0, MAX_AT_RISK_SHOWN) : atRisk;
 		return new PlanEffects(Optional.empty(), List.of(), List.of(), shown, remarks);
 	}
 
-	private static int count(Configuration configuration) {
+	private static int countGuaranteedGangs(Configuration configuration) {
 		int count = 0;
 		for (Customer customer : configuration.customers().values()) {
 			for (GuaranteedShape guarantee : customer.guarantees()) {
--- a/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
@@ -16,49 +16,51 @@
  */
 final class Recovery {
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	private final JobBook book;
+	private final JobRegistry registry;
 
-	private final GangRunner runner;
+	private final GangRunner gangRunner;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
 	/** Recovered members whose workers have not announced themselves yet. */
-	private final Map<WorkerId, Set<Member>> expected = new HashMap<>();
+	private final Map<WorkerId, Set<Member>> unattachedMembers = new HashMap<>();
 
-	Recovery(Desk desk, Fleet fleet, JobBook book, GangRunner runner, GuaranteeLedger ledger) {
-		this.desk = desk;
+	Recovery(SchedulerContext context, Fleet fleet, JobRegistry registry, GangRunner gangRunner,
+			GuaranteeLedger guaranteeAllocator) {
+		this.context = context;
 		this.fleet = fleet;
-		this.book = book;
-		this.runner = runner;
-		this.ledger = ledger;
+		this.registry = registry;
+		this.gangRunner = gangRunner;
+		this.guaranteeAllocator = guaranteeAllocator;
 	}
 
-	void recovered(JobEvent.JobRecovered event) {
-		if (this.book.job(event.job()) != null) {
+	void onJobRecovered(JobEvent.JobRecovered event) {
+		if (this.registry.job(event.job()) != null) {
 			return;
 		}
-		JobState job = this.book.add(event.job(), event.spec());
+		JobState job = this.registry.add(event.job(), event.spec());
 		job.lastAttempt = event.lastAttempt();
-		job.checkpoint = event.hasCheckpoint();
-		job.say("It was taken over from the former holder of the scheduler's lease.");
+		job.hasCheckpoint = event.hasCheckpoint();
+		job.addExplanation("It was taken over from the former holder of the scheduler's lease.");
 		if (event.placement().isEmpty()) {
-			this.book.enqueue(job);
+			this.registry.enqueue(job);
 			return;
 		}
-		Gang gang = gang(job, event);
+		Gang gang = restoreGang(job, event);
 		if (!event.mayHaveRun()) {
-			this.runner.giveUp(gang, "the lease changed hands before it was started", false);
+			this.gangRunner.abandonAndRequeue(gang, "the lease changed hands before it was started", false);
 			return;
 		}
-		this.desk.timers.at(this.desk.now + this.desk.policy.timeouts().rejoin().toMillis(), () -> giveUpMissing(gang));
+		this.context.timers.schedule(this.context.now + this.context.policy.timeouts().rejoin().toMillis(),
+				() -> abandonIfWorkerMissing(gang));
 	}
 
-	void joined(WorkerNode worker) {
-		Set<Member> members = this.expected.remove(worker.info.id());
+	void onWorkerJoined(WorkerNode worker) {
+		Set<Member> members = this.unattachedMembers.remove(worker.info.id());
 		if (members == null) {
 			return;
 		}
@@ -67,15 +69,15 @@
 		}
 	}
 
-	private Gang gang(JobState job, JobEvent.JobRecovered event) {
+	private Gang restoreGang(JobState job, JobEvent.JobRecovered event) {
 		List<Assignment> placement = event.placement();
 		Gang gang = new Gang(job, event.lastAttempt(), placement.size());
-		gang.firm = !job.isPreemptible();
+		gang.preemptionProtected = !job.isPreemptible();
 		gang.stage = Gang.Stage.RUNNING;
-		gang.stageSince = this.desk.now;
-		gang.runningSince = this.desk.now;
-		gang.prepared = placement.size();
-		gang.started = placement.size();
+		gang.stageSince = this.context.now;
+		gang.runningSince = this.context.now;
+		gang.preparedCount = placement.size();
+		gang.startedCount = placement.size();
 		job.current = gang;
 		for (int i = 0; i < placement.size(); i++) {
 			Member member = new Member(gang, i, placement.get(i).worker());
@@ -88,32 +90,32 @@
 				attach(member, worker);
 			}
 			else {
-				this.expected.computeIfAbsent(member.workerId, (id) -> new LinkedHashSet<>()).add(member);
+				this.unattachedMembers.computeIfAbsent(member.workerId, (id) -> new LinkedHashSet<>()).add(member);
 			}
 		}
 		return gang;
 	}
 
 	private void attach(Member member, WorkerNode worker) {
-		if (member.ending != null) {
+		if (member.outcome != null) {
 			return;
 		}
 		member.worker = worker;
 		if (member.gang.stage == Gang.Stage.ABANDONED) {
-			this.runner.abort(member);
+			this.gangRunner.abort(member);
 			return;
 		}
-		this.runner.book(member);
-		this.ledger.recheck(worker);
+		this.gangRunner.allocate(member);
+		this.guaranteeAllocator.recheck(worker);
 	}
 
-	private void giveUpMissing(Gang gang) {
+	private void abandonIfWorkerMissing(Gang gang) {
 		if (!gang.isActive()) {
 			return;
 		}
 		for (Member member : gang.members) {
-			if (member.ending == null && member.worker == null) {
-				this.runner.giveUp(gang, "worker " + member.workerId + " did not come back", false);
+			if (member.outcome == null && member.worker == null) {
+				this.gangRunner.abandonAndRequeue(gang, "worker " + member.workerId + " did not come back", false);
 				return;
 			}
 		}
--- /dev/null
+++ b/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
@@ -0,0 +1,347 @@
+package org.almondmount.jobs.impl;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+
+import org.almondmount.jobs.JobFeature;
+import org.almondmount.model.Resources;
+
+/**
+ * Helps jobs that find no room although they should: by moving small work, by having
+ * customers above their share give way, by reserving. Runs at a steady pace while jobs
+ * wait, with bounded work each time. Not thread-safe.
+ */
+final class Rescheduler {
+
+	private static final long PASS_INTERVAL_MILLIS = 1_000;
+
+	private static final int MAX_JOBS_EXAMINED = 12;
+
+	private static final int MAX_JOBS_UNBLOCKED = 6;
+
+	/**
+	 * How long a small job of a guarantee's owner waits before borrowers have to leave.
+	 */
+	private static final long SMALL_JOB_RECLAIM_AFTER_MILLIS = 30_000;
+
+	private static final long LARGE_JOB_DEFRAGMENT_AFTER_MILLIS = 1_000;
+
+	private static final long SMALL_JOB_DEFRAGMENT_AFTER_MILLIS = 20_000;
+
+	/** From this size on, in accelerators, work has to wait longer for room by itself. */
+	private static final double MIN_LARGE_JOB_ACCELERATORS = 8;
+
+	private static final long FAIR_SHARE_PREEMPTION_AFTER_MILLIS = 15_000;
+
+	/** How long work is left alone before it has to give way to a smaller share. */
+	private static final long MIN_RUN_BEFORE_PREEMPTION_MILLIS = 30_000;
+
+	/** How much better a move has to be than what it costs. */
+	private static final double MIN_GAIN_COST_RATIO = 2;
+
+	/**
+	 * Waits are foreseen badly, so that no more than this counts as gained; beyond it,
+	 * what room has already stood idle decides.
+	 */
+	private static final double MAX_EXPECTED_WAIT_SECONDS = 60;
+
+	/** How much larger a share has to be before it gives way. */
+	private static final double MIN_SHARE_RATIO = 1.1;
+
+	private final SchedulerContext context;
+
+	private final Fleet fleet;
+
+	private final WaitingJobs waiting;
+
+	private final Placer placer;
+
+	private final Evictor evictor;
+
+	private final GangRunner gangRunner;
+
+	private final Dispatcher dispatcher;
+
+	private final GuaranteeLedger guaranteeAllocator;
+
+	private final GuaranteedStart guaranteedJobStarter;
+
+	private final Reservations reservations;
+
+	private boolean passScheduled;
+
+	Rescheduler(SchedulerContext context, Fleet fleet, WaitingJobs waiting, Placer placer, Evictor evictor,
+			GangRunner gangRunner, Dispatcher dispatcher, GuaranteeLedger guaranteeAllocator,
+			GuaranteedStart guaranteedJobStarter, Reservations reservations) {
+		this.context = context;
+		this.fleet = fleet;
+		this.waiting = waiting;
+		this.placer = placer;
+		this.evictor = evictor;
+		this.gangRunner = gangRunner;
+		this.dispatcher = dispatcher;
+		this.guaranteeAllocator = guaranteeAllocator;
+		this.guaranteedJobStarter = guaranteedJobStarter;
+		this.reservations = reservations;
+	}
+
+	/** Keeps the pace going while jobs wait. */
+	void schedulePass() {
+		if (this.passScheduled || this.waiting.waitingCount() == 0) {
+			return;
+		}
+		this.passScheduled = true;
+		this.context.timers.schedule(this.context.now + PASS_INTERVAL_MILLIS, () -> {
+			this.passScheduled = false;
+			runPass();
+		});
+	}
+
+	private void runPass() {
+		if (!this.context.startsAllowed) {
+			return;
+		}
+		for (JobState overdue : this.reservations.review()) {
+			if (isAged(overdue)) {
+				evictForOverdueJob(overdue);
+			}
+		}
+		this.guaranteeAllocator.layOut();
+		int unblocked = 0;
+		for (JobState job : firstBlockedJobs()) {
+			if (job.queue != null && unblock(job)) {
+				unblocked++;
+			}
+			if (unblocked == MAX_JOBS_UNBLOCKED) {
+				return;
+			}
+		}
+	}
+
+	private List<JobState> firstBlockedJobs() {
+		List<JobState> jobs = new ArrayList<>();
+		for (ShapeQueue queue : this.waiting.blocked()) {
+			jobs.add(queue.first());
+		}
+		Map<CustomerQueue, Double> shares = new HashMap<>();
+		for (JobState job : jobs) {
+			shares.computeIfAbsent(job.queue.customer, this.dispatcher::weightedShare);
+		}
+		jobs.sort(Comparator.comparing((JobState job) -> !isAged(job))
+			.thenComparingDouble((job) -> shares.get(job.queue.customer))
+			.thenComparingLong((job) -> job.submissionOrder));
+		return (jobs.size() > MAX_JOBS_EXAMINED) ? jobs.subList(0, MAX_JOBS_EXAMINED) : jobs;
+	}
+
+	private boolean isAged(JobState job) {
+		long agingAfterMillis = this.context.policy.limits().agingAfter().toMillis();
+		return this.context.policy.isEnabled(JobFeature.AGING) && this.context.now - job.submittedAt > agingAfterMillis;
+	}
+
+	private boolean unblock(JobState job) {
+		long waitedMillis = this.context.now - job.phaseSince;
+		if (waitedMillis > SMALL_JOB_RECLAIM_AFTER_MILLIS && this.guaranteedJobStarter.start(job, true)) {
+			return true;
+		}
+		if (evictFromReservation(job)) {
+			return true;
+		}
+		if (waitedMillis > defragmentAfterMillis(job) && isEnabled(JobFeature.DEFRAGMENTATION) && defragment(job)) {
+			return true;
+		}
+		if (waitedMillis > FAIR_SHARE_PREEMPTION_AFTER_MILLIS && isEnabled(JobFeature.PREEMPTION)
+				&& preemptForFairShare(job)) {
+			return true;
+		}
+		if (isEnabled(JobFeature.RESERVATION)
+				&& waitedMillis > this.context.policy.limits().reservationAfter().toMillis()) {
+			this.reservations.reserve(job, isAged(job));
+		}
+		return false;
+	}
+
+	/**
+	 * Clears the room that is reserved for a job once leaving what is free of it idle
+	 * would cost more than what the rest loses by leaving.
+	 * @param job the job
+	 * @return true if so
+	 */
+	private boolean evictFromReservation(JobState job) {
+		Reservation reservation = this.reservations.of(job);
+		if (reservation == null) {
+			return false;
+		}
+		Evictor.Eviction eviction = this.evictor.cheapest(job.spec.shape(), evictionView(job),
+				(gang) -> isEvictable(gang), reservation.workers()::contains);
+		if (eviction == null) {
+			return false;
+		}
+		int idleAccelerators = 0;
+		for (WorkerNode worker : reservation.workers()) {
+			idleAccelerators += Math.max(0, Room.OPEN.accelerators(worker));
+		}
+		double waitSeconds = Math.min(MAX_EXPECTED_WAIT_SECONDS, (reservation.readyAt() - this.context.now) / 1000.0);
+		double usableAccelerators = Math.min(idleAccelerators, Evictor.acceleratorEquivalents(job));
+		job.idleAcceleratorSeconds += usableAccelerators * PASS_INTERVAL_MILLIS / 1000.0;
+		if (usableAccelerators * waitSeconds + job.idleAcceleratorSeconds < eviction.loss()) {
+			return false;
+		}
+		launch(job, eviction, "the room that is kept for job " + job.id + " costs more idle than cleared");
+		return true;
+	}
+
+	private boolean isEvictable(Gang gang) {
+		return !gang.preemptionProtected && gang.isActive() && !this.evictor.wasRecentlyPreempted(gang);
+	}
+
+	private static long defragmentAfterMillis(JobState job) {
+		return (Evictor.acceleratorEquivalents(job) >= MIN_LARGE_JOB_ACCELERATORS) ? LARGE_JOB_DEFRAGMENT_AFTER_MILLIS
+				: SMALL_JOB_DEFRAGMENT_AFTER_MILLIS;
+	}
+
+	/**
+	 * Moves small work away where enough is free, but not together.
+	 * @param job the job
+	 * @return true if so
+	 */
+	private boolean defragment(JobState job) {
+		if (this.fleet.slots(placementView(job), job.spec.shape().perMember()).total() < job.spec.shape().members()) {
+			return false;
+		}
+		Evictor.Eviction eviction = this.evictor.cheapest(job.spec.shape(),
+				(job.isPreemptible() ? Room.MOVABLE : Room.RECLAIMABLE),
+				(gang) -> gang.isActive() && !this.evictor.wasRecentlyPreempted(gang)
+						&& (gang.guaranteeReservation == null || job.isPreemptible()),
+				usable(job));
+		if (eviction == null) {
+			return false;
+		}
+		job.idleAcceleratorSeconds += Evictor.acceleratorEquivalents(job) * PASS_INTERVAL_MILLIS / 1000.0;
+		double waitSeconds = Math.min(MAX_EXPECTED_WAIT_SECONDS, this.reservations.expectedWait(job) / 1000.0);
+		double gain = Evictor.acceleratorEquivalents(job) * waitSeconds + job.idleAcceleratorSeconds;
+		if (gain < MIN_GAIN_COST_RATIO * eviction.loss() || !victimsFitElsewhere(eviction)) {
+			return false;
+		}
+		launch(job, eviction, "it makes adjacent room for job " + job.id + " and fits elsewhere");
+		return true;
+	}
+
+	private boolean victimsFitElsewhere(Evictor.Eviction eviction) {
+		Set<WorkerNode> cleared = new HashSet<>(eviction.workers());
+		Map<WorkerNode, Amount> allocations = new HashMap<>();
+		for (Gang victim : eviction.victims()) {
+			Resources need = victim.job.spec.shape().perMember();
+			Room capacityView = placementView(victim.job);
+			List<WorkerNode> workers = this.placer.find(victim.job.spec.shape(), capacityView, (worker) -> {
+				Amount taken = allocations.get(worker);
+				boolean enoughLeft = taken == null
+						|| capacityView.accelerators(worker) - taken.accelerators >= need.accelerators();
+				return enoughLeft && !cleared.contains(worker);
+			});
+			if (workers == null) {
+				return false;
+			}
+			for (WorkerNode worker : workers) {
+				allocations.computeIfAbsent(worker, (node) -> new Amount()).add(need, 1);
+			}
+		}
+		return true;
+	}
+
+	/**
+	 * Has customers with larger shares give way, least lost work first.
+	 * @param job the job
+	 * @return true if so
+	 */
+	private boolean preemptForFairShare(JobState job) {
+		Amount total = new Amount();
+		total.add(job.spec.shape().total(), 1);
+		CustomerQueue owner = job.queue.customer;
+		double shareAfterStart = this.dispatcher.weightedShare(owner)
+				+ this.fleet.dominantShare(total) / 2 / owner.weight;
+		Map<CustomerQueue, Double> shares = new HashMap<>();
+		Evictor.Eviction eviction = this.evictor.cheapest(job.spec.shape(), evictionView(job),
+				(gang) -> mayPreemptForFairShare(gang, shares, shareAfterStart), usable(job));
+		if (eviction == null || !ownersKeepLargerShare(eviction, shareAfterStart)) {
+			return false;
+		}
+		launch(job, eviction, "customer " + owner.id + " has a smaller share and waits with job " + job.id);
+		return true;
+	}
+
+	private boolean mayPreemptForFairShare(Gang gang, Map<CustomerQueue, Double> shares, double shareAfterStart) {
+		boolean ranLongEnough = !gang.preemptionProtected && gang.stage == Gang.Stage.RUNNING
+				&& this.context.now - gang.stageSince > MIN_RUN_BEFORE_PREEMPTION_MILLIS;
+		if (!ranLongEnough || !gang.job.spec.checkpoints() || this.evictor.wasRecentlyPreempted(gang)) {
+			return false;
+		}
+		CustomerQueue owner = this.waiting.customer(gang.job.spec.customer());
+		return shares.computeIfAbsent(owner, this.dispatcher::weightedShare) > shareAfterStart * MIN_SHARE_RATIO;
+	}
+
+	/**
+	 * Nobody may fall below the share of the one that it gives way to.
+	 * @param eviction the place and who has to leave
+	 * @param shareAfterStart the share of the one that they give way to
+	 * @return true if so
+	 */
+	private boolean ownersKeepLargerShare(Evictor.Eviction eviction, double shareAfterStart) {
+		Map<CustomerQueue, Amount> lostByOwner = new HashMap<>();
+		for (Gang victim : eviction.victims()) {
+			lostByOwner.computeIfAbsent(this.waiting.customer(victim.job.spec.customer()), (owner) -> new Amount())
+				.add(victim.job.spec.shape().total(), 1);
+		}
+		for (Map.Entry<CustomerQueue, Amount> entry : lostByOwner.entrySet()) {
+			CustomerQueue owner = entry.getKey();
+			double shareLeft = this.dispatcher.weightedShare(owner)
+					- this.fleet.dominantShare(entry.getValue()) / 2 / owner.weight;
+			if (shareLeft < shareAfterStart) {
+				return false;
+			}
+		}
+		return true;
+	}
+
+	/**
+	 * The reserved room of an old job is late: whoever may be preempted has to leave now,
+	 * so that a job's wait has a bound whatever run times were expected.
+	 * @param job the job
+	 */
+	private void evictForOverdueJob(JobState job) {
+		Evictor.Eviction eviction = this.evictor.cheapest(job.spec.shape(), evictionView(job),
+				(gang) -> !gang.preemptionProtected && gang.isActive(), usable(job));
+		if (eviction != null) {
+			launch(job, eviction, "job " + job.id + " has waited longest");
+		}
+	}
+
+	private void launch(JobState job, Evictor.Eviction eviction, String reason) {
+		this.gangRunner.launch(job, eviction.workers(), null);
+		this.reservations.drop(job);
+		this.gangRunner.evict(eviction.victims(), reason);
+	}
+
+	private Predicate<WorkerNode> usable(JobState job) {
+		return (worker) -> (job.isPreemptible() || this.guaranteeAllocator.allowsFirm(worker))
+				&& this.reservations.allows(job, worker, false);
+	}
+
+	private static Room placementView(JobState job) {
+		return job.isPreemptible() ? Room.OPEN : Room.FIRM;
+	}
+
+	private static Room evictionView(JobState job) {
+		return job.isPreemptible() ? Room.EVICTABLE : Room.RECLAIMABLE;
+	}
+
+	private boolean isEnabled(JobFeature feature) {
+		return this.context.policy.isEnabled(feature);
+	}
+
+}
--- a/core/src/main/java/org/almondmount/jobs/impl/Reservations.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Reservations.java
@@ -40,17 +40,17 @@
 
 	private static final long UNKNOWN_WAIT_MILLIS = 60_000;
 
-	private final Desk desk;
+	private final SchedulerContext desk;
 
 	private final Fleet fleet;
 
-	private final RunTimes runTimes;
+	private final RunTimeEstimator runTimes;
 
 	private final Map<JobState, Reservation> reservations = new LinkedHashMap<>();
 
 	private final Map<JobState, Long> replanAt = new LinkedHashMap<>();
 
-	Reservations(Desk desk, Fleet fleet, RunTimes runTimes) {
+	Reservations(SchedulerContext desk, Fleet fleet, RunTimeEstimator runTimes) {
 		this.desk = desk;
 		this.fleet = fleet;
 		this.runTimes = runTimes;
@@ -72,7 +72,7 @@
 		if (reservation == null || reservation.job() == job) {
 			return true;
 		}
-		return backfill && this.desk.now + this.runTimes.rest(job.spec, 0) <= reservation.readyAt();
+		return backfill && this.desk.now + this.runTimes.remainingMillis(job.spec, 0) <= reservation.readyAt();
 	}
 
 	/**
@@ -87,7 +87,7 @@
 				drop(reservation.job());
 			}
 			if (reservation.job().queue != null && late) {
-				reservation.job().reserveAfter = this.desk.now + PAUSE_MILLIS;
+				reservation.job().noReservationBefore = this.desk.now + PAUSE_MILLIS;
 				overdue.add(reservation.job());
 			}
 		}
@@ -100,7 +100,7 @@
 	 * @param first whether it goes before younger ones when none is left
 	 */
 	void reserve(JobState job, boolean first) {
-		if (this.reservations.containsKey(job) || job.reserveAfter > this.desk.now) {
+		if (this.reservations.containsKey(job) || job.noReservationBefore > this.desk.now) {
 			return;
 		}
 		if (this.reservations.size() >= MOST && !(first && dropYoungest(job))) {
@@ -137,11 +137,11 @@
 	private boolean dropYoungest(JobState job) {
 		JobState youngest = null;
 		for (JobState other : this.reservations.keySet()) {
-			if (youngest == null || other.order > youngest.order) {
+			if (youngest == null || other.submissionOrder > youngest.submissionOrder) {
 				youngest = other;
 			}
 		}
-		if (youngest == null || youngest.order < job.order) {
+		if (youngest == null || youngest.submissionOrder < job.submissionOrder) {
 			return false;
 		}
 		drop(youngest);
@@ -180,7 +180,7 @@
 			worker.reservation = reservation;
 		}
 		reservation.job()
-			.say("A place is kept for it and is expected to be free in about "
+			.addExplanation("A place is kept for it and is expected to be free in about "
 					+ Math.max(0, (reservation.readyAt() - this.desk.now) / 1000) + " s.");
 	}
 
@@ -264,9 +264,9 @@
 		long at = this.desk.now;
 		for (Member member : worker.members) {
 			Gang gang = member.gang;
-			if (!gang.firm || gang.spot != null) {
+			if (!gang.preemptionProtected || gang.guaranteeReservation != null) {
 				long elapsed = this.desk.now - gang.stageSince;
-				at = Math.max(at, this.desk.now + this.runTimes.rest(gang.job.spec, elapsed));
+				at = Math.max(at, this.desk.now + this.runTimes.remainingMillis(gang.job.spec, elapsed));
 			}
 		}
 		return at;
--- a/core/src/main/java/org/almondmount/jobs/impl/RunTimes.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/RunTimeEstimator.java
@@ -11,54 +11,56 @@
  * times are far off, so they count only until a few jobs have been seen. Bounded: the
  * class that was used longest ago is forgotten first. Not thread-safe.
  */
-final class RunTimes {
+final class RunTimeEstimator {
 
-	private static final int SAMPLES = 32;
+	private static final int SAMPLES_PER_CLASS = 32;
 
-	private static final int ENOUGH = 3;
+	private static final int MIN_SAMPLES = 3;
 
-	private static final int CLASSES = 10_000;
+	private static final int MAX_CLASSES = 10_000;
 
 	private static final double QUANTILE = 0.8;
 
 	/** How much longer a job is taken to run that has passed all that were seen. */
-	private static final double PASSED = 0.5;
+	private static final double OVERRUN_FACTOR = 0.5;
 
 	private static final float LOAD_FACTOR = 0.75f;
 
-	private final boolean learning;
+	private final boolean learningEnabled;
 
 	private final Map<ClassKey, Samples> classes = new LinkedHashMap<>(16, LOAD_FACTOR, true) {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<ClassKey, Samples> eldest) {
-			return size() > CLASSES;
+			return size() > MAX_CLASSES;
 		}
 
 	};
 
-	RunTimes(boolean learning) {
-		this.learning = learning;
+	RunTimeEstimator(boolean learningEnabled) {
+		this.learningEnabled = learningEnabled;
 	}
 
-	void learn(JobSpec spec, long millis) {
+	void recordRunTime(JobSpec spec, long millis) {
 		this.classes.computeIfAbsent(key(spec), (key) -> new Samples()).add(millis);
 	}
 
 	/**
 	 * How long a job is going to run on, a high quantile of what was seen of its class.
 	 * @param spec the job
-	 * @param elapsed how long it has run already, in milliseconds
+	 * @param elapsedMillis how long it has run already, in milliseconds
 	 * @return the rest in milliseconds
 	 */
-	long rest(JobSpec spec, long elapsed) {
-		Samples samples = this.learning ? this.classes.get(key(spec)) : null;
-		if (samples == null || samples.count < ENOUGH) {
-			long declared = spec.declaredRunTime().toMillis();
-			return (declared > elapsed) ? declared - elapsed : (long) (elapsed * PASSED);
+	long remainingMillis(JobSpec spec, long elapsedMillis) {
+		Samples samples = this.learningEnabled ? this.classes.get(key(spec)) : null;
+		if (samples == null || samples.count < MIN_SAMPLES) {
+			long declaredMillis = spec.declaredRunTime().toMillis();
+			return (declaredMillis > elapsedMillis) ? declaredMillis - elapsedMillis
+					: (long) (elapsedMillis * OVERRUN_FACTOR);
 		}
-		long whole = samples.quantileAbove(elapsed);
-		return (whole > elapsed) ? whole - elapsed : (long) (elapsed * PASSED);
+		long expectedMillis = samples.quantileAbove(elapsedMillis);
+		return (expectedMillis > elapsedMillis) ? expectedMillis - elapsedMillis
+				: (long) (elapsedMillis * OVERRUN_FACTOR);
 	}
 
 	private static ClassKey key(JobSpec spec) {
@@ -70,7 +72,7 @@
 	 */
 	private static final class Samples {
 
-		private final long[] values = new long[SAMPLES];
+		private final long[] values = new long[SAMPLES_PER_CLASS];
 
 		private int count;
 
@@ -82,30 +84,30 @@
 		void add(long millis) {
 			this.sorted = null;
 			this.values[this.next] = millis;
-			this.next = (this.next + 1) % SAMPLES;
-			this.count = Math.min(SAMPLES, this.count + 1);
+			this.next = (this.next + 1) % SAMPLES_PER_CLASS;
+			this.count = Math.min(SAMPLES_PER_CLASS, this.count + 1);
 		}
 
 		/**
 		 * The quantile of those samples that a job which has run so long can still be
 		 * like.
-		 * @param elapsed how long it has run, in milliseconds
+		 * @param elapsedMillis how long it has run, in milliseconds
 		 * @return the result
 		 */
-		long quantileAbove(long elapsed) {
+		long quantileAbove(long elapsedMillis) {
 			if (this.sorted == null) {
 				this.sorted = Arrays.copyOf(this.values, this.count);
 				Arrays.sort(this.sorted);
 			}
 			int first = 0;
-			while (first < this.sorted.length && this.sorted[first] <= elapsed) {
+			while (first < this.sorted.length && this.sorted[first] <= elapsedMillis) {
 				first++;
 			}
-			int left = this.sorted.length - first;
-			if (left == 0) {
+			int longerCount = this.sorted.length - first;
+			if (longerCount == 0) {
 				return 0;
 			}
-			return this.sorted[first + (int) Math.min(left - 1L, (long) (left * QUANTILE))];
+			return this.sorted[first + (int) Math.min(longerCount - 1L, (long) (longerCount * QUANTILE))];
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/Desk.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/SchedulerContext.java
@@ -11,7 +11,7 @@
  * What all parts of one scheduler share: the time of the event in hand, the commands that
  * it gives rise to, timers, policy and configuration. Mutable, not thread-safe.
  */
-final class Desk {
+final class SchedulerContext {
 
 	final JobPolicy policy;
 
@@ -25,7 +25,7 @@
 
 	private List<JobCommand> commands = new ArrayList<>();
 
-	Desk(JobPolicy policy) {
+	SchedulerContext(JobPolicy policy) {
 		this.policy = policy;
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/ShapeQueue.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ShapeQueue.java
@@ -18,11 +18,11 @@
 
 	final TreeMap<Long, JobState> jobs = new TreeMap<>();
 
-	private SlotIndex index;
+	private SlotIndex slotIndex;
 
-	private long entitledAt = -1;
+	private long entitledAtChangeCount = -1;
 
-	private boolean entitled;
+	private boolean mayReclaim;
 
 	ShapeQueue(CustomerQueue customer, Key key) {
 		this.customer = customer;
@@ -35,8 +35,8 @@
 	 * @param worker the worker
 	 * @return false if they surely have not
 	 */
-	boolean fits(Fleet fleet, WorkerNode worker) {
-		SlotIndex slots = index(fleet);
+	boolean mayFitNear(Fleet fleet, WorkerNode worker) {
+		SlotIndex slots = slotIndex(fleet);
 		if (slots.slots(worker) == 0) {
 			return false;
 		}
@@ -54,8 +54,8 @@
 	 * @param fleet the workers
 	 * @return false if surely none has
 	 */
-	boolean fitsSomewhere(Fleet fleet) {
-		SlotIndex slots = index(fleet);
+	boolean mayFitAnywhere(Fleet fleet) {
+		SlotIndex slots = slotIndex(fleet);
 		int members = this.key.shape().members();
 		return switch (this.key.shape().adjacency()) {
 			case WORKER -> slots.total() > 0;
@@ -67,25 +67,25 @@
 	/**
 	 * Whether the first job may have borrowers leave, asked again only after the
 	 * customer's spots or what it has have changed.
-	 * @param guaranteed knows it
+	 * @param guaranteedJobStarter knows it
 	 * @return true if it may
 	 */
-	boolean isEntitled(GuaranteedStart guaranteed) {
-		if (this.entitledAt != this.customer.changes) {
-			this.entitledAt = this.customer.changes;
-			this.entitled = guaranteed.isEntitled(first());
+	boolean mayReclaimImmediately(GuaranteedStart guaranteedJobStarter) {
+		if (this.entitledAtChangeCount != this.customer.changeCount) {
+			this.entitledAtChangeCount = this.customer.changeCount;
+			this.mayReclaim = guaranteedJobStarter.isEntitled(first());
 		}
-		return this.entitled;
+		return this.mayReclaim;
 	}
 
-	private SlotIndex index(Fleet fleet) {
+	private SlotIndex slotIndex(Fleet fleet) {
 		fleet.refresh();
-		if (this.index == null) {
+		if (this.slotIndex == null) {
 			GangShape shape = this.key.shape();
 			boolean oneWorker = shape.adjacency() == Adjacency.WORKER;
-			this.index = fleet.slots(Room.OPEN, oneWorker ? shape.total() : shape.perMember());
+			this.slotIndex = fleet.slots(Room.OPEN, oneWorker ? shape.total() : shape.perMember());
 		}
-		return this.index;
+		return this.slotIndex;
 	}
 
 	JobState first() {
--- a/core/src/main/java/org/almondmount/jobs/impl/Timers.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Timers.java
@@ -10,17 +10,17 @@
 final class Timers {
 
 	private final PriorityQueue<Timer> queue = new PriorityQueue<>(
-			Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
+			Comparator.comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
 
-	private long count;
+	private long scheduledCount;
 
-	void at(long time, Runnable action) {
-		this.count++;
-		this.queue.add(new Timer(time, this.count, action));
+	void schedule(long dueAt, Runnable action) {
+		this.scheduledCount++;
+		this.queue.add(new Timer(dueAt, this.scheduledCount, action));
 	}
 
 	void runDue(long now) {
-		while (!this.queue.isEmpty() && this.queue.peek().at() <= now) {
+		while (!this.queue.isEmpty() && this.queue.peek().dueAt() <= now) {
 			this.queue.poll().action().run();
 		}
 	}
@@ -29,11 +29,11 @@
 	 * When the next action is due.
 	 * @return the time, {@link Long#MAX_VALUE} if there is none
 	 */
-	long next() {
-		return this.queue.isEmpty() ? Long.MAX_VALUE : this.queue.peek().at();
+	long nextDueAt() {
+		return this.queue.isEmpty() ? Long.MAX_VALUE : this.queue.peek().dueAt();
 	}
 
-	private record Timer(long at, long order, Runnable action) {
+	private record Timer(long dueAt, long sequence, Runnable action) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
@@ -9,18 +9,18 @@
  */
 final class UsageGuard {
 
-	private static final double OVER = 1.2;
+	private static final double OVERUSE_FACTOR = 1.2;
 
 	/** Reports lag, so that one after the order to slow down may still be from before. */
-	private static final long THROTTLE_MILLIS = 15_000;
+	private static final long THROTTLE_REPORT_DELAY_MILLIS = 15_000;
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
-	private final GangRunner runner;
+	private final GangRunner gangRunner;
 
-	UsageGuard(Desk desk, GangRunner runner) {
-		this.desk = desk;
-		this.runner = runner;
+	UsageGuard(SchedulerContext context, GangRunner gangRunner) {
+		this.context = context;
+		this.gangRunner = gangRunner;
 	}
 
 	/**
@@ -28,31 +28,31 @@
 	 * @param member the member
 	 * @param used what it used some seconds ago
 	 */
-	void reported(Member member, Resources used) {
+	void onUsageReported(Member member, Resources used) {
 		Gang gang = member.gang;
 		Resources declared = gang.job.spec.shape().perMember();
-		boolean memory = used.memoryMb() > declared.memoryMb() * OVER;
-		boolean cores = used.cores() > declared.cores() * OVER;
-		if (!gang.isActive() || (!memory && !cores)) {
+		boolean memoryExceeded = used.memoryMb() > declared.memoryMb() * OVERUSE_FACTOR;
+		boolean coresExceeded = used.cores() > declared.cores() * OVERUSE_FACTOR;
+		if (!gang.isActive() || (!memoryExceeded && !coresExceeded)) {
 			return;
 		}
 		if (member.throttledAt == 0) {
-			member.throttledAt = Math.max(1, this.desk.now);
-			this.desk.send(new JobCommand.Throttle(gang.attempt, member.index, member.workerId));
-			gang.job.say("Member " + member.index + " uses more than was declared and is slowed down.");
+			member.throttledAt = Math.max(1, this.context.now);
+			this.context.send(new JobCommand.Throttle(gang.attempt, member.index, member.workerId));
+			gang.job.addExplanation("Member " + member.index + " uses more than was declared and is slowed down.");
 			return;
 		}
-		boolean late = this.desk.now - member.throttledAt > THROTTLE_MILLIS;
-		if (late && memory && gang.job.isPreemptible()
-				&& crowded(member.worker, used.memoryMb() - declared.memoryMb())) {
-			this.runner.suspend(gang,
+		boolean throttleDelayOver = this.context.now - member.throttledAt > THROTTLE_REPORT_DELAY_MILLIS;
+		if (throttleDelayOver && memoryExceeded && gang.job.isPreemptible()
+				&& lacksMemory(member.worker, used.memoryMb() - declared.memoryMb())) {
+			this.gangRunner.suspend(gang,
 					"member " + member.index + " uses " + used.memoryMb() + " MiB instead of " + declared.memoryMb()
 							+ " and others on worker " + member.workerId + " would suffer",
-					this.desk.policy.timeouts().checkpoint().toMillis());
+					this.context.policy.timeouts().checkpoint().toMillis());
 		}
 	}
 
-	private static boolean crowded(WorkerNode worker, int extraMemoryMb) {
+	private static boolean lacksMemory(WorkerNode worker, int extraMemoryMb) {
 		return worker != null && Room.FREE.memoryMb(worker) < extraMemoryMb;
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/WaitingJobs.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobs.java
@@ -28,7 +28,7 @@
 
 	private final Set<ShapeQueue> blocked = new LinkedHashSet<>();
 
-	private int waiting;
+	private int waitingCount;
 
 	CustomerQueue customer(CustomerId id) {
 		return this.customers.computeIfAbsent(id, CustomerQueue::new);
@@ -46,8 +46,8 @@
 		return this.blocked;
 	}
 
-	int waiting() {
-		return this.waiting;
+	int waitingCount() {
+		return this.waitingCount;
 	}
 
 	void configure(Configuration configuration) {
@@ -65,11 +65,11 @@
 		CustomerQueue customer = customer(job.spec.customer());
 		ShapeQueue queue = customer.shapes.computeIfAbsent(ShapeQueue.Key.of(job),
 				(key) -> new ShapeQueue(customer, key));
-		boolean first = queue.jobs.isEmpty() || job.order < queue.jobs.firstKey();
-		queue.jobs.put(job.order, job);
+		boolean first = queue.jobs.isEmpty() || job.submissionOrder < queue.jobs.firstKey();
+		queue.jobs.put(job.submissionOrder, job);
 		job.queue = queue;
-		customer.waiting++;
-		this.waiting++;
+		customer.waitingCount++;
+		this.waitingCount++;
 		if (first) {
 			open(queue);
 		}
@@ -81,9 +81,9 @@
 			return;
 		}
 		job.queue = null;
-		queue.jobs.remove(job.order);
-		queue.customer.waiting--;
-		this.waiting--;
+		queue.jobs.remove(job.submissionOrder);
+		queue.customer.waitingCount--;
+		this.waitingCount--;
 		if (queue.jobs.isEmpty()) {
 			queue.customer.shapes.remove(queue.key);
 			this.open.remove(queue);
@@ -112,7 +112,7 @@
 	 * @param id the customer
 	 */
 	void open(CustomerId id) {
-		customer(id).changes++;
+		customer(id).changeCount++;
 		for (ShapeQueue queue : customer(id).shapes.values()) {
 			open(queue);
 		}
@@ -123,10 +123,10 @@
 	 * @param fleet the workers
 	 * @param grown the workers whose books changed
 	 */
-	void openFitting(Fleet fleet, List<WorkerNode> grown) {
+	void openFittingShapes(Fleet fleet, List<WorkerNode> grown) {
 		for (ShapeQueue queue : new ArrayList<>(this.blocked)) {
 			for (WorkerNode worker : grown) {
-				if (queue.fits(fleet, worker)) {
+				if (queue.mayFitNear(fleet, worker)) {
 					open(queue);
 					break;
 				}
--- /dev/null
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
@@ -0,0 +1,173 @@
+package org.almondmount.jobs.impl;
+
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+import org.almondmount.jobs.JobCommand;
+import org.almondmount.jobs.JobFeature;
+
+/**
+ * Tells bad workers from bad jobs by comparing across both. Not thread-safe.
+ * <p>
+ * Each failure adds to a worker's score, which decays. A worker whose score stands far
+ * above its peers' is set aside for a time that doubles with each relapse, then has to
+ * run one single task before it gets more. A job's own failure weighs little until the
+ * job has run elsewhere; if it fails there too, it is the job.
+ */
+final class WorkerHealth {
+
+	/** Added when a worker says that it could not run a task. */
+	static final double COULD_NOT_RUN_PENALTY = 1;
+
+	/** Added when a worker did not answer in time, or refused. */
+	static final double NO_ANSWER_PENALTY = 0.4;
+
+	/** Added when a program failed, taken back if it fails elsewhere. */
+	private static final double PROGRAM_FAILED_PENALTY = 0.4;
+
+	/** Added when a program that failed there ran to its end elsewhere. */
+	private static final double SUCCEEDED_ELSEWHERE_PENALTY = 0.8;
+
+	private static final double MIN_QUARANTINE_SCORE = 2;
+
+	private static final double MIN_PEER_SCORE_RATIO = 3;
+
+	private static final double SCORE_HALF_LIFE_MILLIS = 600_000;
+
+	/** At most this share of the workers is set aside at a time. */
+	private static final double MAX_QUARANTINED_SHARE = 0.2;
+
+	private static final long FIRST_QUARANTINE_MILLIS = 60_000;
+
+	private static final int MAX_DOUBLINGS = 6;
+
+	private static final long MAX_PROBATION_MILLIS = 300_000;
+
+	private final SchedulerContext context;
+
+	private final Fleet fleet;
+
+	private final GuaranteeLedger guaranteeAllocator;
+
+	private final Set<WorkerNode> quarantined = new LinkedHashSet<>();
+
+	private double totalScore;
+
+	private long totalScoreAt;
+
+	WorkerHealth(SchedulerContext context, Fleet fleet, GuaranteeLedger guaranteeAllocator) {
+		this.context = context;
+		this.fleet = fleet;
+		this.guaranteeAllocator = guaranteeAllocator;
+	}
+
+	/**
+	 * A worker failed to do its part.
+	 * @param worker the worker, null if it is not known
+	 * @param penalty how much that says about it
+	 */
+	void recordFailure(WorkerNode worker, double penalty) {
+		if (worker == null || !this.context.policy.isEnabled(JobFeature.QUARANTINE)) {
+			return;
+		}
+		worker.score = currentScore(worker) + penalty;
+		worker.scoreAt = this.context.now;
+		this.totalScore = decayed(this.totalScore, this.totalScoreAt) + penalty;
+		this.totalScoreAt = this.context.now;
+		double peerAverage = (this.totalScore - worker.score) / Math.max(1, this.fleet.workers().size() - 1);
+		boolean aboveLimits = worker.score >= MIN_QUARANTINE_SCORE && worker.score > MIN_PEER_SCORE_RATIO * peerAverage;
+		int maxQuarantined = (int) Math.max(1, this.fleet.workers().size() * MAX_QUARANTINED_SHARE);
+		if ((aboveLimits || worker.probation) && !worker.quarantined && this.quarantined.size() < maxQuarantined) {
+			quarantine(worker);
+		}
+	}
+
+	/**
+	 * A job's own program failed.
+	 * @param job the job
+	 * @param worker where it failed
+	 */
+	void recordProgramFailure(JobState job, WorkerNode worker) {
+		job.programFailedOn.add(worker.info.id());
+		if (job.programFailedOn.size() > 1) {
+			job.programFailedOn.forEach((id) -> retractProgramFailure(this.fleet.worker(id)));
+			return;
+		}
+		worker.failedJobs.add(job);
+		recordFailure(worker, PROGRAM_FAILED_PENALTY);
+	}
+
+	/**
+	 * An attempt ran to its end.
+	 * @param gang the attempt
+	 */
+	void recordSuccess(Gang gang) {
+		for (Member member : gang.members) {
+			WorkerNode worker = member.worker;
+			if (worker != null && worker.probation) {
+				endProbation(worker);
+			}
+		}
+		gang.job.programFailedOn.forEach((id) -> recordFailure(this.fleet.worker(id), SUCCEEDED_ELSEWHERE_PENALTY));
+	}
+
+	private void retractProgramFailure(WorkerNode worker) {
+		if (worker != null) {
+			worker.score = Math.max(0, currentScore(worker) - PROGRAM_FAILED_PENALTY);
+			worker.scoreAt = this.context.now;
+			worker.failedJobs.clear();
+		}
+	}
+
+	private void quarantine(WorkerNode worker) {
+		long millis = FIRST_QUARANTINE_MILLIS << Math.min(worker.quarantines, MAX_DOUBLINGS);
+		worker.quarantines++;
+		worker.quarantined = true;
+		worker.probation = false;
+		this.quarantined.add(worker);
+		this.fleet.changed(worker);
+		this.guaranteeAllocator.workerClosed(worker);
+		for (JobState job : worker.failedJobs) {
+			job.programFailures = Math.max(0, job.programFailures - 1);
+		}
+		worker.failedJobs.clear();
+		this.context.send(new JobCommand.LogDecision(worker.info.id().value(),
+				"it failed what it started far more often than other workers and gets no work for " + millis / 1000
+						+ " s"));
+		this.context.timers.schedule(this.context.now + millis, () -> beginProbation(worker));
+	}
+
+	private void beginProbation(WorkerNode worker) {
+		worker.quarantined = false;
+		worker.probation = true;
+		worker.score = 0;
+		this.quarantined.remove(worker);
+		this.fleet.changed(worker);
+		this.context
+			.send(new JobCommand.LogDecision(worker.info.id().value(), "it is tried with one single task at a time"));
+		int quarantines = worker.quarantines;
+		this.context.timers.schedule(this.context.now + MAX_PROBATION_MILLIS, () -> {
+			if (worker.probation && worker.quarantines == quarantines) {
+				endProbation(worker);
+			}
+		});
+	}
+
+	private void endProbation(WorkerNode worker) {
+		worker.probation = false;
+		worker.score = 0;
+		this.fleet.changed(worker);
+		this.guaranteeAllocator.workerOpened(worker);
+		this.context
+			.send(new JobCommand.LogDecision(worker.info.id().value(), "it gets work like any other worker again"));
+	}
+
+	private double currentScore(WorkerNode worker) {
+		return decayed(worker.score, worker.scoreAt);
+	}
+
+	private double decayed(double score, long at) {
+		return score * Math.pow(0.5, (this.context.now - at) / SCORE_HALF_LIFE_MILLIS);
+	}
+
+}
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -18,19 +18,19 @@
  */
 final class ZoneDrain {
 
-	private final Desk desk;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	private final GangRunner runner;
+	private final GangRunner gangRunner;
 
-	private final GuaranteeLedger ledger;
+	private final GuaranteeLedger guaranteeAllocator;
 
-	ZoneDrain(Desk desk, Fleet fleet, GangRunner runner, GuaranteeLedger ledger) {
-		this.desk = desk;
+	ZoneDrain(SchedulerContext context, Fleet fleet, GangRunner gangRunner, GuaranteeLedger guaranteeAllocator) {
+		this.context = context;
 		this.fleet = fleet;
-		this.runner = runner;
-		this.ledger = ledger;
+		this.gangRunner = gangRunner;
+		this.guaranteeAllocator = guaranteeAllocator;
 	}
 
 	void configure(Configuration configuration) {
@@ -43,9 +43,10 @@
 			zone.accepting = accepting;
 			zone.changes++;
 			workers(zone).forEach(this.fleet::changed);
-			workers(zone).forEach(accepting ? this.ledger::workerOpened : this.ledger::workerClosed);
+			workers(zone)
+				.forEach(accepting ? this.guaranteeAllocator::workerOpened : this.guaranteeAllocator::workerClosed);
 			if (!accepting) {
-				takeOut(zone);
+				drainZone(zone);
 			}
 		}
 	}
@@ -55,59 +56,59 @@
 	 * @param worker the worker
 	 */
 	void drainWorker(WorkerNode worker) {
-		this.ledger.workerClosed(worker);
-		giveUpStarting(gangs(List.of(worker)));
-		suspendCheckpointing(gangs(List.of(worker)), "worker " + worker.info.id() + " is leaving");
+		this.guaranteeAllocator.workerClosed(worker);
+		abandonStarting(gangs(List.of(worker)));
+		suspendCheckpointable(gangs(List.of(worker)), "worker " + worker.info.id() + " is leaving");
 	}
 
-	private void takeOut(ZoneNode zone) {
+	private void drainZone(ZoneNode zone) {
 		int change = zone.changes;
-		giveUpStarting(gangs(workers(zone)));
-		String why = "zone " + zone.id + " is out of service";
-		long settled = this.desk.now + this.desk.policy.timeouts().zoneSettle().toMillis();
-		this.desk.timers.at(settled, () -> {
+		abandonStarting(gangs(workers(zone)));
+		String reason = "zone " + zone.id + " is out of service";
+		long settledAt = this.context.now + this.context.policy.timeouts().zoneSettle().toMillis();
+		this.context.timers.schedule(settledAt, () -> {
 			if (zone.changes == change) {
-				suspendCheckpointing(gangs(workers(zone)), why);
+				suspendCheckpointable(gangs(workers(zone)), reason);
 			}
 		});
-		this.desk.timers.at(this.desk.now + grace(), () -> {
+		this.context.timers.schedule(this.context.now + graceMillis(), () -> {
 			if (zone.changes == change) {
-				stopRest(gangs(workers(zone)), why);
+				suspendRemaining(gangs(workers(zone)), reason);
 			}
 		});
 	}
 
-	private void giveUpStarting(Set<Gang> gangs) {
+	private void abandonStarting(Set<Gang> gangs) {
 		for (Gang gang : gangs) {
 			switch (gang.stage) {
-				case CLEARING, COMMITTING, PREPARING ->
-					this.runner.giveUp(gang, "a worker of its place takes no new work", false);
+				case AWAITING_EVICTION, COMMITTING, PREPARING ->
+					this.gangRunner.abandonAndRequeue(gang, "a worker of its place takes no new work", false);
 				default -> {
 				}
 			}
 		}
 	}
 
-	private void suspendCheckpointing(Set<Gang> gangs, String why) {
+	private void suspendCheckpointable(Set<Gang> gangs, String reason) {
 		for (Gang gang : gangs) {
 			if (gang.job.spec.checkpoints() && gang.isActive()) {
-				this.runner.suspend(gang, why, grace());
+				this.gangRunner.suspend(gang, reason, graceMillis());
 			}
 		}
 	}
 
-	private void stopRest(Set<Gang> gangs, String why) {
+	private void suspendRemaining(Set<Gang> gangs, String reason) {
 		for (Gang gang : gangs) {
 			if (gang.isActive()) {
-				this.runner.suspend(gang, why + " and its grace is over",
-						this.desk.policy.timeouts().checkpoint().toMillis());
+				this.gangRunner.suspend(gang, reason + " and its grace is over",
+						this.context.policy.timeouts().checkpoint().toMillis());
 			}
 		}
 	}
 
-	private long grace() {
-		String option = this.desk.configuration.options().get("zone-grace");
-		return SpanOption.parse(option).orElse(this.desk.policy.timeouts().zoneGrace()).toMillis();
+	private long graceMillis() {
+		String option = this.context.configuration.options().get("zone-grace");
+		return SpanOption.parse(option).orElse(this.context.policy.timeouts().zoneGrace()).toMillis();
 	}
 
 	private static List<WorkerNode> workers(ZoneNode zone) {
--- a/core/src/test/java/org/almondmount/gang/MemberKeeperTests.java
+++ b/core/src/test/java/org/almondmount/gang/MemberKeeperTests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.CustomerId;
 import org.almondmount.model.GangShape;
@@ -150,8 +150,8 @@
 		assertThat(this.keeper.held()).hasSize(1);
 		pass(1);
 		assertThat(this.commands).contains(new MemberCommand.SuspendTask(FIRST, 0));
-		on(new MemberEvent.TaskEnded(FIRST, 0, Ending.SUSPENDED));
-		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, Ending.SUSPENDED));
+		on(new MemberEvent.TaskEnded(FIRST, 0, JobOutcome.SUSPENDED));
+		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, JobOutcome.SUSPENDED));
 	}
 
 	// This process: was frozen for four seconds with an answer in its socket. The gang
@@ -213,22 +213,22 @@
 	@Test
 	void anEndIsReportedUntilAnEntryForgetsTheAttempt() {
 		run(FIRST, 0);
-		on(new MemberEvent.TaskEnded(FIRST, 0, Ending.SUCCEEDED));
-		MemberCommand report = new MemberCommand.ReportEnded(FIRST, 0, Ending.SUCCEEDED);
+		on(new MemberEvent.TaskEnded(FIRST, 0, JobOutcome.SUCCEEDED));
+		MemberCommand report = new MemberCommand.ReportEnded(FIRST, 0, JobOutcome.SUCCEEDED);
 		assertThat(this.commands).contains(report);
 		pass(1_000);
 		assertThat(this.commands).contains(report);
 		on(new MemberEvent.Forgotten(FIRST));
 		pass(1_000);
 		assertThat(this.commands).isEmpty();
-		on(new MemberEvent.TaskEnded(FIRST, 0, Ending.SUCCEEDED));
+		on(new MemberEvent.TaskEnded(FIRST, 0, JobOutcome.SUCCEEDED));
 		assertThat(this.commands).isEmpty();
 	}
 
 	@Test
 	void aMemberThatSucceededStillCountsForItsGangUntilItsEndIsOnRecord() {
 		run(FIRST, 0);
-		on(new MemberEvent.TaskEnded(FIRST, 0, Ending.SUCCEEDED));
+		on(new MemberEvent.TaskEnded(FIRST, 0, JobOutcome.SUCCEEDED));
 		assertThat(this.keeper.held()).containsExactly(new HeldMember(FIRST, 0, 2, true));
 		on(new MemberEvent.Forgotten(FIRST));
 		assertThat(this.keeper.held()).isEmpty();
@@ -243,8 +243,8 @@
 		prepare(1, new Attempt(new JobId("other"), 1), 0);
 		assertThat(this.commands).anyMatch(MemberCommand.ReportRefused.class::isInstance)
 			.noneMatch(MemberCommand.ReportPrepared.class::isInstance);
-		on(new MemberEvent.TaskEnded(FIRST, 0, Ending.SUSPENDED));
-		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, Ending.SUSPENDED));
+		on(new MemberEvent.TaskEnded(FIRST, 0, JobOutcome.SUSPENDED));
+		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, JobOutcome.SUSPENDED));
 	}
 
 	@Test
@@ -254,7 +254,7 @@
 		pass(11_999);
 		assertThat(this.commands).noneMatch(MemberCommand.ReportEnded.class::isInstance);
 		pass(1);
-		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, Ending.UNKNOWN));
+		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, JobOutcome.UNKNOWN));
 	}
 
 	@Test
@@ -263,7 +263,7 @@
 		prepare(1, new Attempt(new JobId("other"), 1), 0);
 		on(new MemberEvent.Draining());
 		assertThat(this.commands).hasSize(2).contains(new MemberCommand.SuspendTask(FIRST, 0));
-		on(new MemberEvent.TaskEnded(FIRST, 0, Ending.SUSPENDED));
+		on(new MemberEvent.TaskEnded(FIRST, 0, JobOutcome.SUSPENDED));
 		assertThat(this.commands).noneMatch(MemberCommand.Drained.class::isInstance);
 		on(new MemberEvent.Forgotten(FIRST));
 		assertThat(this.commands).contains(new MemberCommand.Drained());
--- a/core/src/test/java/org/almondmount/gang/PartialGangProperties.java
+++ b/core/src/test/java/org/almondmount/gang/PartialGangProperties.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.CustomerId;
 import org.almondmount.model.GangShape;
@@ -236,11 +236,11 @@
 			void step() {
 				new ArrayList<>(this.tasks.entrySet()).forEach((task) -> {
 					if (task.getValue() <= World.this.now) {
-						end(task.getKey(), Ending.STOPPED);
+						end(task.getKey(), JobOutcome.STOPPED);
 					}
 				});
 				if (World.this.random.nextDouble() < World.this.trouble / 200 && !this.tasks.isEmpty()) {
-					end(this.tasks.keySet().iterator().next(), Ending.WORKER_FAILED);
+					end(this.tasks.keySet().iterator().next(), JobOutcome.WORKER_FAILED);
 				}
 				if (World.this.random.nextDouble() < World.this.trouble / 100) {
 					this.frozenUntil = World.this.now + World.this.random.nextInt(15_000);
@@ -298,17 +298,17 @@
 					this.tasks.computeIfPresent(renew.attempt(), (key, until) -> World.this.now + lease);
 				}
 				else if (command instanceof MemberCommand.SuspendTask suspend) {
-					in(World.this.random.nextInt((int) CHECKPOINT), () -> end(suspend.attempt(), Ending.SUSPENDED));
+					in(World.this.random.nextInt((int) CHECKPOINT), () -> end(suspend.attempt(), JobOutcome.SUSPENDED));
 				}
 				else if (command instanceof MemberCommand.StopTask stop) {
-					end(stop.attempt(), Ending.STOPPED);
+					end(stop.attempt(), JobOutcome.STOPPED);
 				}
 				else {
 					network(() -> World.this.holder.heard(command));
 				}
 			}
 
-			private void end(Attempt attempt, Ending ending) {
+			private void end(Attempt attempt, JobOutcome ending) {
 				if (this.tasks.remove(attempt) != null) {
 					in(0, () -> on(new MemberEvent.TaskEnded(attempt, this.number, ending)));
 				}
--- a/core/src/test/java/org/almondmount/jobs/impl/GangLifecycleTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/GangLifecycleTests.java
@@ -2,9 +2,9 @@
 
 import org.almondmount.jobs.Assignment;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
 import org.almondmount.jobs.JobEvent;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobView;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.JobId;
@@ -25,7 +25,7 @@
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.RUNNING);
 		assertThat(this.fleet.running(job)).isEqualTo(3);
 		this.fleet.runFor(2_000);
-		assertThat(this.fleet.endings).containsEntry(job, Ending.SUCCEEDED);
+		assertThat(this.fleet.endings).containsEntry(job, JobOutcome.SUCCEEDED);
 	}
 
 	@Test
@@ -56,7 +56,7 @@
 		this.fleet.runFor(200);
 		this.fleet.lose(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
 		this.fleet.runFor(10_000);
-		assertThat(this.fleet.endings).containsEntry(job, Ending.UNKNOWN);
+		assertThat(this.fleet.endings).containsEntry(job, JobOutcome.UNKNOWN);
 		assertThat(this.fleet.scheduler.job(job).orElseThrow().attempt()).isEqualTo(1);
 	}
 
@@ -103,11 +103,11 @@
 		this.fleet.feed(new JobEvent.MemberPrepared(attempt, 0));
 		this.fleet.feed(new JobEvent.MemberPrepared(attempt, 1));
 		this.fleet.feed(new JobEvent.MemberStarted(attempt, 0));
-		this.fleet.feed(new JobEvent.MemberEnded(attempt, 1, Ending.SUCCEEDED));
+		this.fleet.feed(new JobEvent.MemberEnded(attempt, 1, JobOutcome.SUCCEEDED));
 		this.fleet.runFor(30_000);
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.RUNNING);
-		this.fleet.feed(new JobEvent.MemberEnded(attempt, 0, Ending.SUCCEEDED));
-		assertThat(this.fleet.endings).containsEntry(job, Ending.SUCCEEDED);
+		this.fleet.feed(new JobEvent.MemberEnded(attempt, 0, JobOutcome.SUCCEEDED));
+		assertThat(this.fleet.endings).containsEntry(job, JobOutcome.SUCCEEDED);
 	}
 
 	@Test
@@ -140,7 +140,7 @@
 		this.fleet.runFor(200);
 		this.fleet.lose(this.fleet.scheduler.job(job).orElseThrow().placement().get(0).worker());
 		this.fleet.runFor(200);
-		this.fleet.feed(new JobEvent.MemberEnded(new Attempt(job, 1), 0, Ending.SUCCEEDED));
+		this.fleet.feed(new JobEvent.MemberEnded(new Attempt(job, 1), 0, JobOutcome.SUCCEEDED));
 		assertThat(this.fleet.endings).doesNotContainKey(job);
 		assertThat(this.fleet.phase(job)).isEqualTo(JobView.Phase.RUNNING);
 	}
@@ -150,7 +150,7 @@
 		this.fleet.broken.add(new JobId("a"));
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(1, 1, Adjacency.ANY)), 60_000);
 		this.fleet.runFor(60_000);
-		assertThat(this.fleet.endings).containsEntry(job, Ending.FAILED);
+		assertThat(this.fleet.endings).containsEntry(job, JobOutcome.FAILED);
 		assertThat(this.fleet.scheduler.job(job).orElseThrow().attempt()).isEqualTo(3);
 	}
 
--- a/core/src/test/java/org/almondmount/jobs/impl/GuaranteeTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/GuaranteeTests.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobView;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.GangShape;
@@ -115,7 +115,7 @@
 		JobId job = this.fleet.submit("g", VirtualFleet.spec("owner", RACK_OF_24), 60_000);
 		this.fleet.runFor(300);
 		assertThat(this.fleet.running(job)).isEqualTo(3);
-		assertThat(this.fleet.endings).doesNotContainValue(Ending.UNKNOWN);
+		assertThat(this.fleet.endings).doesNotContainValue(JobOutcome.UNKNOWN);
 	}
 
 	private List<JobId> borrowEverything() {
--- a/core/src/test/java/org/almondmount/jobs/impl/RandomHistoryTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/RandomHistoryTests.java
@@ -163,8 +163,8 @@
 		List<String> unfinished = new ArrayList<>();
 		for (JobView view : this.fleet.scheduler.jobs()) {
 			if (view.phase() != JobView.Phase.ENDED) {
-				unfinished.add(view.job() + " " + view.phase() + " attempt " + view.attempt() + " " + view.why() + " "
-						+ view.spec().shape());
+				unfinished.add(view.job() + " " + view.phase() + " attempt " + view.attempt() + " " + view.explanation()
+						+ " " + view.spec().shape());
 			}
 		}
 		return unfinished;
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -38,7 +38,7 @@
 	void everyGuaranteeHasASpot() {
 		for (Customer customer : this.fleet.configuration.customers().values()) {
 			for (GuaranteedShape guarantee : customer.guarantees()) {
-				long placed = this.fleet.scheduler.ledger()
+				long placed = this.fleet.scheduler.guaranteeAllocator()
 					.spots(customer.id())
 					.stream()
 					.filter((spot) -> spot.shape.equals(guarantee.shape()) && spot.isPlaced())
@@ -74,7 +74,7 @@
 	private void spotsCanAllBeReclaimedAtOnce() {
 		Map<WorkerId, Resources> claimed = new HashMap<>();
 		Set<JobId> inside = new HashSet<>();
-		for (Spot spot : this.fleet.scheduler.ledger().all()) {
+		for (Spot spot : this.fleet.scheduler.guaranteeAllocator().all()) {
 			if (spot.isPlaced()) {
 				addSpot(spot, claimed, inside);
 			}
@@ -105,7 +105,7 @@
 		for (Gang gang : spot.users) {
 			inside.add(gang.job.id);
 			for (Member member : gang.members) {
-				if (member.booked) {
+				if (member.allocated) {
 					used.merge(member.workerId, gang.job.spec.shape().perMember(), Resources::plus);
 				}
 			}
--- a/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
@@ -14,9 +14,9 @@
 
 import org.almondmount.jobs.Assignment;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobCommand;
 import org.almondmount.jobs.JobEvent;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobPolicy;
 import org.almondmount.jobs.JobView;
 import org.almondmount.model.Adjacency;
@@ -47,7 +47,7 @@
 
 	final List<JobCommand> commands = new ArrayList<>();
 
-	final Map<JobId, Ending> endings = new LinkedHashMap<>();
+	final Map<JobId, JobOutcome> endings = new LinkedHashMap<>();
 
 	final Map<JobId, Refused> refusals = new LinkedHashMap<>();
 
@@ -208,10 +208,10 @@
 			this.refusals.put(refuse.job(), new Refused(refuse.refusal().reason().word(), refuse.refusal().detail()));
 		}
 		else if (command instanceof JobCommand.Finish finish) {
-			this.endings.put(finish.job(), finish.ending());
+			this.endings.put(finish.job(), finish.outcome());
 		}
 		else if (command instanceof JobCommand.WakeAt wake) {
-			later(Math.max(0, wake.atMillis() - this.now), () -> feed(new JobEvent.TimePassed()));
+			later(Math.max(0, wake.atMillis() - this.now), () -> feed(new JobEvent.Tick()));
 		}
 		else if (command instanceof JobCommand.CommitPlacement commit) {
 			later(20, () -> feed(new JobEvent.PlacementCommitted(commit.attempt())));
@@ -232,11 +232,11 @@
 		}
 		else if (command instanceof JobCommand.Suspend suspend) {
 			if (!this.ignoringCheckpoint.contains(suspend.attempt().job())) {
-				later(500, () -> end(new Task(suspend.attempt(), suspend.member()), Ending.SUSPENDED));
+				later(500, () -> end(new Task(suspend.attempt(), suspend.member()), JobOutcome.SUSPENDED));
 			}
 		}
 		else if (command instanceof JobCommand.Stop stop) {
-			later(5, () -> end(new Task(stop.attempt(), stop.member()), Ending.STOPPED));
+			later(5, () -> end(new Task(stop.attempt(), stop.member()), JobOutcome.STOPPED));
 		}
 		else if (command instanceof JobCommand.Abort abort) {
 			later(5, () -> abort(new Task(abort.attempt(), abort.member()), abort.worker()));
@@ -253,13 +253,13 @@
 		this.firstRun.putIfAbsent(job, this.now);
 		report(5, running.worker, new JobEvent.MemberStarted(task.attempt, task.member));
 		if (this.failing.contains(running.worker)) {
-			later(50, () -> end(task, Ending.WORKER_FAILED));
+			later(50, () -> end(task, JobOutcome.WORKER_FAILED));
 		}
 		else if (this.broken.contains(job)) {
-			later(50, () -> end(task, Ending.FAILED));
+			later(50, () -> end(task, JobOutcome.FAILED));
 		}
 		else {
-			later(this.runTimes.getOrDefault(job, 60_000L), () -> end(task, Ending.SUCCEEDED));
+			later(this.runTimes.getOrDefault(job, 60_000L), () -> end(task, JobOutcome.SUCCEEDED));
 		}
 	}
 
@@ -268,13 +268,13 @@
 			return;
 		}
 		if (this.tasks.containsKey(task)) {
-			end(task, Ending.STOPPED);
+			end(task, JobOutcome.STOPPED);
 			return;
 		}
 		feed(new JobEvent.MemberRefused(task.attempt, task.member, "aborted"));
 	}
 
-	private void end(Task task, Ending ending) {
+	private void end(Task task, JobOutcome ending) {
 		Running running = this.tasks.remove(task);
 		if (running != null) {
 			feed(new JobEvent.MemberEnded(task.attempt, task.member, ending));
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/JobDriver.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/JobDriver.java
@@ -115,22 +115,22 @@
 		}
 		else if (command instanceof JobCommand.Requeue requeue) {
 			LOG.info("requeued", "job", requeue.attempt().job(), "attempt", requeue.attempt().number(), "why",
-					requeue.why());
+					requeue.reason());
 			this.expected.over(requeue.attempt());
 			this.store.requeue(requeue);
 		}
 		else if (command instanceof JobCommand.Finish finish) {
-			LOG.info("finished", "job", finish.job(), "attempt", finish.lastAttempt(), "ending", finish.ending(), "why",
-					finish.why());
+			LOG.info("finished", "job", finish.job(), "attempt", finish.lastAttempt(), "ending", finish.outcome(),
+					"why", finish.reason());
 			this.expected.over(new Attempt(finish.job(), finish.lastAttempt()));
 			this.store.finish(finish);
 		}
 		else if (command instanceof JobCommand.WakeAt wake) {
 			this.term.wakeAt().accept(wake.atMillis());
 		}
-		else if (command instanceof JobCommand.Explain explain) {
-			LOG.info("explain", "subject", explain.subject(), "what", explain.what());
-			this.term.history().add(explain.subject(), explain.what(), "scheduler");
+		else if (command instanceof JobCommand.LogDecision explain) {
+			LOG.info("explain", "subject", explain.subject(), "what", explain.message());
+			this.term.history().add(explain.subject(), explain.message(), "scheduler");
 		}
 		else {
 			order(command);
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/JobRecord.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/JobRecord.java
@@ -6,7 +6,7 @@
 import org.almondmount.daemon.entry.store.Rows.JobRow;
 import org.almondmount.jobs.Assignment;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.JobId;
 import org.almondmount.model.JobSpec;
 
@@ -33,7 +33,7 @@
 
 	private List<Assignment> placement = List.of();
 
-	private Ending ending;
+	private JobOutcome ending;
 
 	private String why = "";
 
@@ -79,7 +79,7 @@
 		return this.placement;
 	}
 
-	Ending ending() {
+	JobOutcome ending() {
 		return this.ending;
 	}
 
@@ -137,7 +137,7 @@
 		this.why = reason;
 	}
 
-	void ended(Ending how, String reason) {
+	void ended(JobOutcome how, String reason) {
 		this.ending = how;
 		this.why = reason;
 		this.placement = List.of();
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/JobStore.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/JobStore.java
@@ -176,7 +176,7 @@
 		if (job == null || job.attempt() != attempt.number() || job.placement().isEmpty()) {
 			return;
 		}
-		job.requeued(requeue.why());
+		job.requeued(requeue.reason());
 		write(job, StoreOperation.NEVER, (result) -> {
 			if (result instanceof CommitResult.Committed) {
 				job.overUpTo(attempt.number());
@@ -190,7 +190,7 @@
 			return;
 		}
 		job.whenStored(() -> {
-			job.ended(finish.ending(), finish.why());
+			job.ended(finish.outcome(), finish.reason());
 			write(job, StoreOperation.NEVER, (result) -> finished(job, result));
 		});
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/Listings.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/Listings.java
@@ -67,7 +67,7 @@
 		Map<String, Object> document = spec(view.job().value(), view.spec());
 		document.put("phase", word(view.phase()));
 		document.put("attempt", view.attempt());
-		document.put("why", view.why());
+		document.put("why", view.explanation());
 		document.put("placement", placement(view.placement()));
 		return document;
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/SchedulerTerm.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/SchedulerTerm.java
@@ -11,8 +11,8 @@
 
 import org.almondmount.gang.HeldMember;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
 import org.almondmount.jobs.JobEvent;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.jobs.JobView;
 import org.almondmount.model.JobId;
 import org.almondmount.model.JobSpec;
@@ -93,7 +93,7 @@
 	void tick(long now, boolean startsAllowed) {
 		this.plans.tick();
 		this.driver.startsAllowed(startsAllowed);
-		this.driver.feed(new JobEvent.TimePassed());
+		this.driver.feed(new JobEvent.Tick());
 		for (Iterator<JobRecord> each = this.waitedFor.iterator(); each.hasNext();) {
 			JobRecord job = each.next();
 			answerLate(now, job);
@@ -111,7 +111,7 @@
 	 */
 	List<Attempt> heard(WorkerId worker, List<HeldMember> members) {
 		for (ExpectedMembers.Member gone : this.driver.expected().heard(worker, members)) {
-			this.driver.feed(new JobEvent.MemberEnded(gone.attempt(), gone.member(), Ending.UNKNOWN));
+			this.driver.feed(new JobEvent.MemberEnded(gone.attempt(), gone.member(), JobOutcome.UNKNOWN));
 		}
 		Set<Attempt> asked = this.reportedOver.computeIfAbsent(worker, (id) -> new LinkedHashSet<>());
 		members.forEach((member) -> asked.add(member.attempt()));
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/Scheduling.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/Scheduling.java
@@ -172,7 +172,7 @@
 	}
 
 	private void wake() {
-		this.term.ifPresent((now) -> now.driver().feed(new JobEvent.TimePassed()));
+		this.term.ifPresent((now) -> now.driver().feed(new JobEvent.Tick()));
 	}
 
 	/**
