--- a/daemon/src/main/java/org/almondmount/daemon/entry/store/Rows.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/store/Rows.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 import org.almondmount.jobs.Assignment;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Configuration;
 import org.almondmount.model.Customer;
 import org.almondmount.model.CustomerId;
@@ -94,7 +94,7 @@
 	 * @param why a sentence about the ending
 	 * @param submitted when it was accepted, milliseconds since 1970, for people
 	 */
-	public record JobRow(JobSpec spec, int attempt, List<Assignment> placement, Ending ending, String why,
+	public record JobRow(JobSpec spec, int attempt, List<Assignment> placement, JobOutcome ending, String why,
 			long submitted) {
 
 		public JobRow {
@@ -105,7 +105,7 @@
 		 * How the job ended.
 		 * @return the ending, or empty while it has none
 		 */
-		public Optional<Ending> ended() {
+		public Optional<JobOutcome> ended() {
 			return Optional.ofNullable(this.ending);
 		}
 
--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
@@ -6,7 +6,7 @@
 
 import org.almondmount.daemon.target.EntryLink.Beat;
 import org.almondmount.gang.MemberEvent;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Configuration;
 import org.almondmount.model.ZoneState;
 import org.almondmount.settings.TargetSettings;
@@ -118,7 +118,7 @@
 		else if (signal instanceof TargetSignal.StartFailed failed) {
 			LOG.warn("task-start-failed", "job", failed.attempt().job(), "attempt", failed.attempt().number(), "member",
 					failed.member(), "why", failed.why());
-			Ending ending = failed.mayHaveArrived() ? Ending.UNKNOWN : Ending.WORKER_FAILED;
+			JobOutcome ending = failed.mayHaveArrived() ? JobOutcome.UNKNOWN : JobOutcome.WORKER_FAILED;
 			this.members.handle(now, new MemberEvent.TaskEnded(failed.attempt(), failed.member(), ending));
 		}
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/target/WorkerTasks.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/WorkerTasks.java
@@ -12,7 +12,7 @@
 import org.almondmount.gang.MemberEvent;
 import org.almondmount.http.HttpFailure;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.services.WorkerClient;
 import org.almondmount.services.WorkerClient.TaskReport;
 import org.almondmount.telemetry.EventLog;
@@ -105,7 +105,7 @@
 		// replaced under it.
 		for (TaskReport gone : before.values()) {
 			if (gone.state().equals(RUNNING)) {
-				events.add(new MemberEvent.TaskEnded(gone.attempt(), gone.member(), Ending.UNKNOWN));
+				events.add(new MemberEvent.TaskEnded(gone.attempt(), gone.member(), JobOutcome.UNKNOWN));
 			}
 		}
 		return events;
@@ -126,14 +126,14 @@
 		}
 	}
 
-	private static Ending ending(String state) {
+	private static JobOutcome ending(String state) {
 		return switch (state) {
-			case "succeeded" -> Ending.SUCCEEDED;
-			case "failed" -> Ending.FAILED;
-			case "worker-failed" -> Ending.WORKER_FAILED;
-			case "suspended" -> Ending.SUSPENDED;
-			case "stopped" -> Ending.STOPPED;
-			default -> Ending.UNKNOWN;
+			case "succeeded" -> JobOutcome.SUCCEEDED;
+			case "failed" -> JobOutcome.FAILED;
+			case "worker-failed" -> JobOutcome.WORKER_FAILED;
+			case "suspended" -> JobOutcome.SUSPENDED;
+			case "stopped" -> JobOutcome.STOPPED;
+			default -> JobOutcome.UNKNOWN;
 		};
 	}
 
--- a/daemon/src/test/java/org/almondmount/daemon/entry/FakeTarget.java
+++ b/daemon/src/test/java/org/almondmount/daemon/entry/FakeTarget.java
@@ -12,7 +12,7 @@
 
 import org.almondmount.gang.HeldMember;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.RackId;
 import org.almondmount.model.Resources;
 import org.almondmount.model.WorkerId;
@@ -79,7 +79,7 @@
 		return this.heard.stream().filter(kind::isInstance).map(kind::cast).toList();
 	}
 
-	void end(Attempt attempt, int member, Ending ending) {
+	void end(Attempt attempt, int member, JobOutcome ending) {
 		this.members.removeIf((held) -> held.attempt().equals(attempt) && held.member() == member);
 		this.connection.send(new Message.MemberEnded(attempt, member, ending));
 	}
@@ -145,7 +145,7 @@
 			from.send(new Message.MemberReport(order.attempt(), order.member(), Message.Report.STARTED, ""));
 		}
 		else if (order.order() != Message.Order.THROTTLE) {
-			Ending ending = (order.order() == Message.Order.SUSPEND) ? Ending.SUSPENDED : Ending.STOPPED;
+			JobOutcome ending = (order.order() == Message.Order.SUSPEND) ? JobOutcome.SUSPENDED : JobOutcome.STOPPED;
 			end(order.attempt(), order.member(), ending);
 		}
 	}
--- a/daemon/src/test/java/org/almondmount/daemon/entry/JobRoutesTests.java
+++ b/daemon/src/test/java/org/almondmount/daemon/entry/JobRoutesTests.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.wire.Message;
 import org.awaitility.Awaitility;
 import org.junit.jupiter.api.AfterEach;
@@ -57,7 +57,7 @@
 		String job = submit(GANG, Map.of());
 		awaitPhase(job, "running");
 		this.target.heard(Message.Prepare.class)
-			.forEach((each) -> this.target.end(each.attempt(), each.member(), Ending.SUCCEEDED));
+			.forEach((each) -> this.target.end(each.attempt(), each.member(), JobOutcome.SUCCEEDED));
 		JsonNode ended = RunningEntry.json(this.entry.get(RunningEntry.PARISH, "/v1/jobs/" + job + "?wait=10s"));
 		assertThat(ended.path("phase").asText()).isEqualTo("ended");
 		assertThat(ended.path("ending").asText()).isEqualTo("succeeded");
--- a/daemon/src/test/java/org/almondmount/daemon/target/TargetDaemonTests.java
+++ b/daemon/src/test/java/org/almondmount/daemon/target/TargetDaemonTests.java
@@ -14,7 +14,7 @@
 import org.almondmount.http.impl.NettyHttpClient;
 import org.almondmount.http.impl.NettyHttpServer;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.CustomerId;
 import org.almondmount.model.GangShape;
@@ -167,7 +167,7 @@
 		until(() -> assertThat(this.entry.heard(Message.MemberReport.class))
 			.contains(new Message.MemberReport(attempt, 0, Message.Report.STARTED, "")));
 		until(() -> assertThat(this.entry.heard(Message.MemberEnded.class))
-			.contains(new Message.MemberEnded(attempt, 0, Ending.SUSPENDED)));
+			.contains(new Message.MemberEnded(attempt, 0, JobOutcome.SUSPENDED)));
 	}
 
 	private static void until(Runnable assertion) {
--- a/runtime/src/main/java/org/almondmount/wire/Message.java
+++ b/runtime/src/main/java/org/almondmount/wire/Message.java
@@ -5,7 +5,7 @@
 
 import org.almondmount.gang.HeldMember;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Configuration;
 import org.almondmount.model.CustomerId;
 import org.almondmount.model.EntryId;
@@ -138,7 +138,7 @@
 	}
 
 	/** Target to every entry: a member's task is over. */
-	record MemberEnded(Attempt attempt, int member, Ending ending) implements Message {
+	record MemberEnded(Attempt attempt, int member, JobOutcome ending) implements Message {
 	}
 
 	/** Target to every entry: what a member used a while ago. */
--- a/runtime/src/main/java/org/almondmount/wire/impl/MessageKind.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/MessageKind.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.CustomerId;
 import org.almondmount.model.EntryId;
 import org.almondmount.model.RequestId;
@@ -108,7 +108,7 @@
 	MEMBER_ENDED(16, 3, Message.MemberEnded.class, (out, m) -> {
 		ValueCodec.writeAttempt(out, m.attempt());
 		out.number(m.member()).constant(m.ending());
-	}, (in) -> new Message.MemberEnded(ValueCodec.readAttempt(in), in.smallNumber(), in.constant(Ending.class))),
+	}, (in) -> new Message.MemberEnded(ValueCodec.readAttempt(in), in.smallNumber(), in.constant(JobOutcome.class))),
 
 	MEMBER_USAGE(17, 3, Message.MemberUsage.class, (out, m) -> {
 		ValueCodec.writeAttempt(out, m.attempt());
--- a/runtime/src/test/java/org/almondmount/wire/impl/Samples.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/Samples.java
@@ -8,7 +8,7 @@
 
 import org.almondmount.gang.HeldMember;
 import org.almondmount.jobs.Attempt;
-import org.almondmount.jobs.Ending;
+import org.almondmount.jobs.JobOutcome;
 import org.almondmount.model.Adjacency;
 import org.almondmount.model.Configuration;
 import org.almondmount.model.Customer;
@@ -77,7 +77,7 @@
 			new Message.CallBroken(new RequestId("r-1"), 1, "cut"), new Message.Prepare(9, ATTEMPT, 2, SPEC, true),
 			new Message.MemberOrder(9, ATTEMPT, 2, Message.Order.START),
 			new Message.MemberReport(ATTEMPT, 2, Message.Report.PREPARED, ""),
-			new Message.MemberEnded(ATTEMPT, 2, Ending.SUCCEEDED),
+			new Message.MemberEnded(ATTEMPT, 2, JobOutcome.SUCCEEDED),
 			new Message.MemberUsage(ATTEMPT, 2, new Resources(1, 2, 3)),
 			new Message.Forward(5, "parish", "POST", "/v1/jobs", new byte[] { 4 }, Map.of("idempotency-key", "k1")),
 			new Message.ForwardAnswer(5, 201, Map.of(), new byte[0]),
