--- a/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
@@ -167,11 +167,11 @@
 
 	void allocate(Member member) {
 		Resources need = member.gang.job.spec.shape().perMember();
-		member.booked = true;
-		member.gang.booked++;
+		member.allocated = true;
+		member.gang.allocatedCount++;
 		member.worker.members.add(member);
 		member.worker.allocated.add(need, 1);
-		if (member.gang.firm) {
+		if (member.gang.preemptionProtected) {
 			member.worker.protectedAllocation.add(need, 1);
 		}
 		if (!member.gang.job.isPreemptible()) {
@@ -181,15 +181,15 @@
 	}
 
 	void release(Member member) {
-		if (!member.booked) {
+		if (!member.allocated) {
 			return;
 		}
 		Resources need = member.gang.job.spec.shape().perMember();
-		member.booked = false;
-		member.gang.booked--;
+		member.allocated = false;
+		member.gang.allocatedCount--;
 		member.worker.members.remove(member);
 		member.worker.allocated.add(need, -1);
-		if (member.gang.firm) {
+		if (member.gang.preemptionProtected) {
 			member.worker.protectedAllocation.add(need, -1);
 		}
 		if (!member.gang.job.isPreemptible()) {
@@ -215,12 +215,12 @@
 	}
 
 	private void setProtected(Gang gang, boolean isProtected) {
-		if (gang.firm == isProtected) {
+		if (gang.preemptionProtected == isProtected) {
 			return;
 		}
-		gang.firm = isProtected;
+		gang.preemptionProtected = isProtected;
 		for (Member member : gang.members) {
-			if (member.booked) {
+			if (member.allocated) {
 				member.worker.protectedAllocation.add(gang.job.spec.shape().perMember(), isProtected ? 1 : -1);
 				markChanged(member.worker);
 			}
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
@@ -47,7 +47,7 @@
 
 	private static final double MAX_HOLD_MILLIS = 30_000;
 
-	private final Desk context;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
@@ -62,7 +62,7 @@
 
 	private long nextRebuildAtMillis = Long.MIN_VALUE;
 
-	GuaranteeAllocator(Desk context, Fleet fleet, GangPlacer placer) {
+	GuaranteeAllocator(SchedulerContext context, Fleet fleet, GangPlacer placer) {
 		this.context = context;
 		this.fleet = fleet;
 		this.placer = placer;
@@ -256,7 +256,7 @@
 	 */
 	void attach(GuaranteeReservation reservation, Gang gang) {
 		setHeld(reservation, false);
-		gang.spot = reservation;
+		gang.guaranteeReservation = reservation;
 		reservation.ownerGangs.add(gang);
 		addOwnerUsage(reservation, gang, 1);
 	}
@@ -266,7 +266,7 @@
 	 * @param member the member
 	 */
 	void release(Member member) {
-		GuaranteeReservation reservation = member.gang.spot;
+		GuaranteeReservation reservation = member.gang.guaranteeReservation;
 		if (reservation == null) {
 			return;
 		}
@@ -274,7 +274,7 @@
 		if (portion != null) {
 			addOwnerUsage(portion, member.gang.job.spec.shape().perMember(), -1);
 		}
-		if (member.gang.booked > 0) {
+		if (member.gang.allocatedCount > 0) {
 			return;
 		}
 		completeDetach(member.gang, reservation);
@@ -285,9 +285,9 @@
 	 * @param gang the attempt
 	 */
 	void detach(Gang gang) {
-		GuaranteeReservation reservation = gang.spot;
+		GuaranteeReservation reservation = gang.guaranteeReservation;
 		for (Member member : gang.members) {
-			GuaranteeReservation.WorkerPortion portion = member.booked ? findPortion(reservation, member.worker) : null;
+			GuaranteeReservation.WorkerPortion portion = member.allocated ? findPortion(reservation, member.worker) : null;
 			if (portion != null) {
 				addOwnerUsage(portion, gang.job.spec.shape().perMember(), -1);
 			}
@@ -296,7 +296,7 @@
 	}
 
 	private void completeDetach(Gang gang, GuaranteeReservation reservation) {
-		gang.spot = null;
+		gang.guaranteeReservation = null;
 		reservation.ownerGangs.remove(gang);
 		this.changedCustomers.add(reservation.customer);
 		if (reservation.isVacant() && reservation.isPlaced()) {
@@ -372,14 +372,14 @@
 	 */
 	private void holdAfterUse(GuaranteeReservation reservation) {
 		long millis = (long) Math.min(MAX_HOLD_MILLIS,
-				1000 * reservation.lastEvictionLoss / Evictor.size(reservation.shape));
-		if (millis <= 0 || !this.context.policy.has(JobFeature.SPOT_KEEPING)) {
+				1000 * reservation.lastEvictionLoss / Evictor.acceleratorEquivalents(reservation.shape));
+		if (millis <= 0 || !this.context.policy.isEnabled(JobFeature.SPOT_KEEPING)) {
 			return;
 		}
 		setHeld(reservation, true);
 		reservation.holdGeneration++;
 		int generation = reservation.holdGeneration;
-		this.context.timers.at(this.context.now + millis, () -> {
+		this.context.timers.schedule(this.context.now + millis, () -> {
 			if (reservation.holdGeneration == generation && reservation.held) {
 				setHeld(reservation, false);
 				reservation.lastEvictionLoss = 0;
@@ -494,7 +494,7 @@
 
 	private static boolean hasOnlySmallPreemptibleGangs(GuaranteeReservation reservation) {
 		for (Gang gang : reservation.ownerGangs) {
-			boolean small = Evictor.size(gang.job) * 2 < Evictor.size(reservation.shape);
+			boolean small = Evictor.acceleratorEquivalents(gang.job) * 2 < Evictor.acceleratorEquivalents(reservation.shape);
 			if (!small || !gang.job.isPreemptible() || !gang.isActive()) {
 				return false;
 			}
@@ -516,7 +516,7 @@
 
 	private void addOwnerUsage(GuaranteeReservation reservation, Gang gang, int factor) {
 		for (Member member : gang.members) {
-			GuaranteeReservation.WorkerPortion portion = (member.ending == null)
+			GuaranteeReservation.WorkerPortion portion = (member.outcome == null)
 					? findPortion(reservation, member.worker) : null;
 			if (portion != null) {
 				addOwnerUsage(portion, gang.job.spec.shape().perMember(), factor);
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
@@ -29,7 +29,7 @@
 
 	GuaranteeFeasibilityCheck(Fleet actualFleet, Configuration configuration, JobPolicy policy) {
 		this.configuration = configuration;
-		Desk context = new Desk(policy);
+		SchedulerContext context = new SchedulerContext(policy);
 		context.configuration = configuration;
 		for (ZoneNode zone : actualFleet.zones()) {
 			this.fleet.zone(zone.id).accepting = configuration.zone(zone.id).acceptsWork();
@@ -39,7 +39,7 @@
 				this.fleet.join(worker.info);
 			}
 		}
-		this.placer = new GangPlacer(this.fleet, policy.has(JobFeature.PACKING));
+		this.placer = new GangPlacer(this.fleet, policy.isEnabled(JobFeature.PACKING));
 		this.guaranteeAllocator = new GuaranteeAllocator(context, this.fleet, this.placer);
 		this.guaranteeAllocator.configure(configuration);
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
@@ -15,7 +15,7 @@
 	/** Spots of one customer that are compared for one job. */
 	private static final int MAX_RESERVATIONS_COMPARED = 16;
 
-	private final Desk context;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
@@ -27,8 +27,9 @@
 
 	private final GangRunner runner;
 
-	GuaranteedJobStarter(Desk context, Fleet fleet, GangPlacer placer, GuaranteeAllocator guaranteeAllocator,
-			Evictor evictor, GangRunner runner) {
+	GuaranteedJobStarter(SchedulerContext context, Fleet fleet, GangPlacer placer, GuaranteeAllocator guaranteeAllocator,
+			Evictor evictor,
+			GangRunner runner) {
 		this.context = context;
 		this.fleet = fleet;
 		this.placer = placer;
@@ -139,7 +140,7 @@
 		if (newWorkers == null) {
 			Evictor.Eviction cheapest = this.evictor.cheapest(reservation.shape, CapacityView.RECLAIMABLE,
 					isEvictableFor(job), GuaranteeAllocator.NOT_ON_PROBATION);
-			newWorkers = (cheapest != null && cheapest.loss() < evictionInPlace.loss()) ? cheapest.places() : null;
+			newWorkers = (cheapest != null && cheapest.loss() < evictionInPlace.loss()) ? cheapest.workers() : null;
 		}
 		this.guaranteeAllocator.place(reservation, (newWorkers != null) ? newWorkers : previousWorkers);
 		List<WorkerNode> memberWorkers = (newWorkers != null)
@@ -187,7 +188,7 @@
 	 */
 	private static Predicate<Gang> isEvictableFor(JobState job) {
 		boolean urgent = job.spec.urgency() == Urgency.URGENT;
-		return (gang) -> !gang.firm && (urgent || !gang.job.spec.customer().equals(job.spec.customer()));
+		return (gang) -> !gang.preemptionProtected && (urgent || !gang.job.spec.customer().equals(job.spec.customer()));
 	}
 
 	private boolean mayDisplaceOwner(GuaranteeReservation reservation, JobState job) {
@@ -198,7 +199,7 @@
 		for (Gang ownerGang : reservation.ownerGangs) {
 			boolean displaceable = ownerGang.job.spec.urgency() == Urgency.NORMAL && ownerGang.job.isPreemptible()
 					&& ownerGang.isActive();
-			boolean small = !isLargeFor(ownerGang.job, reservation) && !this.evictor.movedLately(ownerGang);
+			boolean small = !isLargeFor(ownerGang.job, reservation) && !this.evictor.wasRecentlyPreempted(ownerGang);
 			if (!displaceable || !(urgent || small)) {
 				return false;
 			}
@@ -212,12 +213,12 @@
 	}
 
 	private static boolean isLargeFor(JobState job, GuaranteeReservation reservation) {
-		return Evictor.size(job) * 2 >= Evictor.size(reservation.shape);
+		return Evictor.acceleratorEquivalents(job) * 2 >= Evictor.acceleratorEquivalents(reservation.shape);
 	}
 
 	private void launch(JobState job, GuaranteeReservation reservation, Evictor.Eviction eviction) {
 		reservation.lastEvictionLoss = Math.max(reservation.lastEvictionLoss, eviction.loss());
-		this.runner.launch(job, eviction.places(), reservation);
+		this.runner.launch(job, eviction.workers(), reservation);
 		this.runner.evict(eviction.victims(),
 				"customer " + job.spec.customer() + " reclaims a guaranteed shape for job " + job.id);
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
@@ -40,17 +40,17 @@
 
 	private static final long DEFAULT_EXPECTED_WAIT_MILLIS = 60_000;
 
-	private final Desk context;
+	private final SchedulerContext context;
 
 	private final Fleet fleet;
 
-	private final RunTimes runTimes;
+	private final RunTimeEstimator runTimes;
 
 	private final Map<JobState, WaitingJobReservation> reservations = new LinkedHashMap<>();
 
 	private final Map<JobState, Long> expiresAtMillis = new LinkedHashMap<>();
 
-	WaitingJobReservations(Desk context, Fleet fleet, RunTimes runTimes) {
+	WaitingJobReservations(SchedulerContext context, Fleet fleet, RunTimeEstimator runTimes) {
 		this.context = context;
 		this.fleet = fleet;
 		this.runTimes = runTimes;
@@ -72,7 +72,7 @@
 		if (reservation == null || reservation.job() == job) {
 			return true;
 		}
-		return backfill && this.context.now + this.runTimes.rest(job.spec, 0) <= reservation.readyAtMillis();
+		return backfill && this.context.now + this.runTimes.remainingMillis(job.spec, 0) <= reservation.readyAtMillis();
 	}
 
 	/**
@@ -87,7 +87,7 @@
 				drop(reservation.job());
 			}
 			if (reservation.job().queue != null && late) {
-				reservation.job().reserveAfter = this.context.now + RETRY_PAUSE_MILLIS;
+				reservation.job().noReservationBefore = this.context.now + RETRY_PAUSE_MILLIS;
 				overdue.add(reservation.job());
 			}
 		}
@@ -100,7 +100,7 @@
 	 * @param mayReplaceYounger whether it goes before younger ones when none is left
 	 */
 	void reserve(JobState job, boolean mayReplaceYounger) {
-		if (this.reservations.containsKey(job) || job.reserveAfter > this.context.now) {
+		if (this.reservations.containsKey(job) || job.noReservationBefore > this.context.now) {
 			return;
 		}
 		if (this.reservations.size() >= MAX_RESERVATIONS && !(mayReplaceYounger && dropYoungest(job))) {
@@ -138,11 +138,11 @@
 	private boolean dropYoungest(JobState job) {
 		JobState youngest = null;
 		for (JobState other : this.reservations.keySet()) {
-			if (youngest == null || other.order > youngest.order) {
+			if (youngest == null || other.submissionOrder > youngest.submissionOrder) {
 				youngest = other;
 			}
 		}
-		if (youngest == null || youngest.order < job.order) {
+		if (youngest == null || youngest.submissionOrder < job.submissionOrder) {
 			return false;
 		}
 		drop(youngest);
@@ -181,7 +181,7 @@
 			worker.reservation = reservation;
 		}
 		reservation.job()
-			.say("A place is kept for it and is expected to be free in about "
+			.addExplanation("A place is kept for it and is expected to be free in about "
 					+ Math.max(0, (reservation.readyAtMillis() - this.context.now) / 1000) + " s.");
 	}
 
@@ -265,9 +265,9 @@
 		long emptyAtMillis = this.context.now;
 		for (Member member : worker.members) {
 			Gang gang = member.gang;
-			if (!gang.firm || gang.spot != null) {
+			if (!gang.preemptionProtected || gang.guaranteeReservation != null) {
 				long elapsed = this.context.now - gang.stageSince;
-				emptyAtMillis = Math.max(emptyAtMillis, this.context.now + this.runTimes.rest(gang.job.spec, elapsed));
+				emptyAtMillis = Math.max(emptyAtMillis, this.context.now + this.runTimes.remainingMillis(gang.job.spec, elapsed));
 			}
 		}
 		return emptyAtMillis;
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -38,7 +38,7 @@
 	void assertEveryGuaranteeIsPlaced() {
 		for (Customer customer : this.fleet.configuration.customers().values()) {
 			for (GuaranteedShape guarantee : customer.guarantees()) {
-				long placed = this.fleet.scheduler.ledger()
+				long placed = this.fleet.scheduler.guaranteeAllocator()
 					.reservations(customer.id())
 					.stream()
 					.filter((reservation) -> reservation.shape.equals(guarantee.shape()) && reservation.isPlaced())
@@ -74,7 +74,7 @@
 	private void assertAllReservationsCanBeReclaimedTogether() {
 		Map<WorkerId, Resources> claimed = new HashMap<>();
 		Set<JobId> jobsInReservations = new HashSet<>();
-		for (GuaranteeReservation reservation : this.fleet.scheduler.ledger().allReservations()) {
+		for (GuaranteeReservation reservation : this.fleet.scheduler.guaranteeAllocator().allReservations()) {
 			if (reservation.isPlaced()) {
 				addReservation(reservation, claimed, jobsInReservations);
 			}
@@ -106,7 +106,7 @@
 		for (Gang gang : reservation.ownerGangs) {
 			jobsInReservations.add(gang.job.id);
 			for (Member member : gang.members) {
-				if (member.booked) {
+				if (member.allocated) {
 					used.merge(member.workerId, gang.job.spec.shape().perMember(), Resources::plus);
 				}
 			}
