--- a/core/src/main/java/org/almondmount/workflow/impl/SavedWork.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CheckpointPersister.java
@@ -15,56 +15,57 @@
  * costs, whatever the size of the fleet: it takes the place of the one that renews the
  * term.
  */
-final class SavedWork {
+final class CheckpointPersister {
 
 	/** Pause between two transactions that keep nothing but checkpoints. */
-	private static final long PAUSE_MILLIS = 1_000;
+	private static final long INTERVAL_MILLIS = 1_000;
 
 	/**
 	 * Tasks whose jobs go into one transaction: a row of 64 KB holds 2,500 of them, and a
 	 * transaction of the store 1 MB.
 	 */
-	private static final int MOST_TASKS = 25_000;
+	private static final int MAX_TASKS = 25_000;
 
-	private static final Comparator<JobState> MOST_FIRST = Comparator.comparingDouble(JobState::unkeptCoreSeconds)
+	private static final Comparator<JobState> MOST_UNPERSISTED_FIRST = Comparator
+		.comparingDouble(JobState::unpersistedCoreSeconds)
 		.reversed();
 
 	private final SchedulerState state;
 
-	private long nextMillis = Long.MIN_VALUE;
+	private long nextDueMillis = Long.MIN_VALUE;
 
-	SavedWork(SchedulerState state) {
+	CheckpointPersister(SchedulerState state) {
 		this.state = state;
 	}
 
-	void timePassed() {
-		if (this.state.steadyMillis() < this.nextMillis || !this.state.has(SchedulerFeature.KEEP_CHECKPOINTS)) {
+	void tick() {
+		if (this.state.steadyMillis() < this.nextDueMillis || !this.state.has(SchedulerFeature.KEEP_CHECKPOINTS)) {
 			return;
 		}
-		List<JobState> unkept = new ArrayList<>();
+		List<JobState> unpersisted = new ArrayList<>();
 		for (JobState job : this.state.jobs().values()) {
-			if (!job.over() && job.unkeptCoreSeconds() > 0) {
-				unkept.add(job);
+			if (!job.over() && job.unpersistedCoreSeconds() > 0) {
+				unpersisted.add(job);
 			}
 		}
-		if (unkept.isEmpty()) {
+		if (unpersisted.isEmpty()) {
 			return;
 		}
-		unkept.sort(MOST_FIRST);
-		keep(unkept);
-		this.nextMillis = this.state.steadyMillis() + PAUSE_MILLIS;
+		unpersisted.sort(MOST_UNPERSISTED_FIRST);
+		persist(unpersisted);
+		this.nextDueMillis = this.state.steadyMillis() + INTERVAL_MILLIS;
 	}
 
-	private void keep(List<JobState> jobs) {
+	private void persist(List<JobState> jobs) {
 		int records = 0;
 		int tasks = 0;
 		for (JobState job : jobs) {
 			records++;
 			tasks += job.taskCount();
-			if (records > WriteAhead.MOST_RECORDS || (tasks > MOST_TASKS && records > 1)) {
+			if (records > WriteAheadBuffer.MAX_RECORDS || (tasks > MAX_TASKS && records > 1)) {
 				return;
 			}
-			this.state.writeAhead().changed(job);
+			this.state.writeAheadBuffer().markChanged(job);
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashBlame.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashAttribution.java
@@ -17,14 +17,14 @@
  * run the more of the blame falls on it. Tasks of one step are alike and share its blame
  * whole.
  */
-final class CrashBlame {
+final class CrashAttribution {
 
 	/** An age in milliseconds at which half as much speaks against a run as at once. */
-	private static final double HALF_AS_LIKELY_MILLIS = 500;
+	private static final double HALF_WEIGHT_AGE_MILLIS = 500;
 
-	private static final int WHOLE = 100;
+	private static final int MAX_PERCENT = 100;
 
-	private CrashBlame() {
+	private CrashAttribution() {
 	}
 
 	/**
@@ -32,27 +32,27 @@
 	 * @param runs the runs that were at work
 	 * @return the crash of each task
 	 */
-	static List<Found> judge(List<Crashed> runs) {
+	static List<TaskCrash> attribute(List<Crashed> runs) {
 		Map<WorkerLife, Map<StepOfJob, Double>> weights = new HashMap<>();
 		for (Crashed run : runs) {
 			weights.computeIfAbsent(run.life(), (life) -> new HashMap<>())
 				.merge(StepOfJob.of(run.task()), weight(run), Math::max);
 		}
-		List<Found> found = new ArrayList<>(runs.size());
+		List<TaskCrash> crashes = new ArrayList<>(runs.size());
 		for (Crashed run : runs) {
-			int percent = percent(weights.get(run.life()), StepOfJob.of(run.task()));
-			found.add(new Found(run.task(), new Crash(run.run(), run.life(), true, run.ageMillis(), percent)));
+			int percent = blamePercent(weights.get(run.life()), StepOfJob.of(run.task()));
+			crashes.add(new TaskCrash(run.task(), new Crash(run.run(), run.life(), true, run.ageMillis(), percent)));
 		}
-		return found;
+		return crashes;
 	}
 
 	private static double weight(Crashed run) {
-		return 1 / (run.ageMillis() + HALF_AS_LIKELY_MILLIS);
+		return 1 / (run.ageMillis() + HALF_WEIGHT_AGE_MILLIS);
 	}
 
-	private static int percent(Map<StepOfJob, Double> weights, StepOfJob step) {
-		double all = weights.values().stream().mapToDouble(Double::doubleValue).sum();
-		return (int) Math.round(WHOLE * weights.get(step) / all);
+	private static int blamePercent(Map<StepOfJob, Double> weights, StepOfJob step) {
+		double totalWeight = weights.values().stream().mapToDouble(Double::doubleValue).sum();
+		return (int) Math.round(MAX_PERCENT * weights.get(step) / totalWeight);
 	}
 
 	/**
@@ -69,7 +69,7 @@
 	/**
 	 * A task with a crash under it.
 	 */
-	record Found(TaskId task, Crash crash) {
+	record TaskCrash(TaskId task, Crash crash) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
@@ -23,41 +23,41 @@
 	 * it: the reports of the others are lost where all processes are killed before they
 	 * are kept.
 	 */
-	private static final int MOST_CRASHES = 5;
+	private static final int MAX_CRASHES = 5;
 
 	/**
 	 * Seen crashes at the same age; fewer may be chance: workers crash for reasons of
 	 * their own.
 	 */
-	private static final int CRASHES_OF_PROOF = 3;
+	private static final int MIN_OBSERVED_CRASHES = 3;
 
 	/** Blame of a suspect, in percent of one crash. */
-	private static final int SUSPECT_PERCENT = 50;
+	private static final int SUSPECT_BLAME_PERCENT = 50;
 
 	/** Blame of a task that is given up, in percent of one crash. */
-	private static final int GUILTY_PERCENT = 200;
+	private static final int GIVE_UP_BLAME_PERCENT = 200;
 
 	/** Crashes of a sound task: by then it is better kept apart. */
-	private static final int CRASHES_OF_A_SUSPECT = 3;
+	private static final int SUSPECT_CRASH_COUNT = 3;
 
 	/**
 	 * The ages at which a task crashes its workers differ by no more, in milliseconds: an
 	 * age is known up to the pause between two answers of a worker.
 	 */
-	private static final long SAME_AGE_MILLIS = 1_500;
+	private static final long SAME_AGE_TOLERANCE_MILLIS = 1_500;
 
 	/** A run that is so much older than its task's crashes is not to blame for them. */
-	private static final long OUTLIVED_MILLIS = 2_000;
+	private static final long SAFE_AGE_MARGIN_MILLIS = 2_000;
 
 	/** A suspect waits no longer for a worker of its own, in milliseconds. */
-	private static final long PATIENCE_MILLIS = 2_000;
+	private static final long ISOLATION_TIMEOUT_MILLIS = 2_000;
 
 	private final List<Crash> crashes = new ArrayList<>();
 
-	private long aloneUntil = Long.MIN_VALUE;
+	private long isolatedUntilMillis = Long.MIN_VALUE;
 
 	/** Crashes of runs up to this one are forgotten for good; reports are repeated. */
-	private int forgottenUpTo;
+	private int clearedUpToRun;
 
 	/**
 	 * Takes note of a crash.
@@ -66,20 +66,20 @@
 	 * @return whether it is a new one; reports are repeated
 	 */
 	boolean add(long now, Crash crash) {
-		if (knows(crash)) {
+		if (isKnown(crash)) {
 			return false;
 		}
 		this.crashes.removeIf((known) -> known.run() == crash.run());
 		this.crashes.add(crash);
-		this.aloneUntil = now + PATIENCE_MILLIS;
+		this.isolatedUntilMillis = now + ISOLATION_TIMEOUT_MILLIS;
 		return true;
 	}
 
-	private boolean knows(Crash crash) {
-		if (crash.run() <= this.forgottenUpTo) {
+	private boolean isKnown(Crash crash) {
+		if (crash.run() <= this.clearedUpToRun) {
 			return true;
 		}
-		boolean full = !crash.seen() && this.crashes.size() >= MOST_CRASHES;
+		boolean full = !crash.seen() && this.crashes.size() >= MAX_CRASHES;
 		return full || this.crashes.stream()
 			.anyMatch((known) -> known.run() == crash.run() && (known.seen() || !crash.seen()));
 	}
@@ -92,14 +92,14 @@
 	 * @param life the life of the worker
 	 * @return whether it counts
 	 */
-	boolean addStart(long now, int run, WorkerLife life) {
-		return this.crashes.size() >= CRASHES_OF_A_SUSPECT && add(now, Crash.unseen(run, life));
+	boolean countRun(long now, int run, WorkerLife life) {
+		return this.crashes.size() >= SUSPECT_CRASH_COUNT && add(now, Crash.unseen(run, life));
 	}
 
 	/** A run of the task has shown that it is not to blame. */
 	void clear() {
 		for (Crash crash : this.crashes) {
-			this.forgottenUpTo = Math.max(this.forgottenUpTo, crash.run());
+			this.clearedUpToRun = Math.max(this.clearedUpToRun, crash.run());
 		}
 		this.crashes.clear();
 	}
@@ -112,15 +112,16 @@
 	 * Whether the task is not to be begun any more.
 	 * @return whether enough speaks against it
 	 */
-	boolean givesUp() {
-		long seen = seen().count();
-		boolean sameAge = oldestMillis() - youngestMillis() <= SAME_AGE_MILLIS;
-		boolean guilty = sameAge && seen >= CRASHES_OF_PROOF && blamePercent() >= GUILTY_PERCENT;
-		return guilty || (seen > 0 && this.crashes.size() >= MOST_CRASHES);
+	boolean shouldGiveUp() {
+		long observedCount = observed().count();
+		boolean sameAge = maxAgeMillis() - minAgeMillis() <= SAME_AGE_TOLERANCE_MILLIS;
+		boolean attributable = sameAge && observedCount >= MIN_OBSERVED_CRASHES
+				&& blamePercent() >= GIVE_UP_BLAME_PERCENT;
+		return attributable || (observedCount > 0 && this.crashes.size() >= MAX_CRASHES);
 	}
 
-	boolean suspect() {
-		return blamePercent() >= SUSPECT_PERCENT || seen().count() >= CRASHES_OF_A_SUSPECT;
+	boolean isSuspect() {
+		return blamePercent() >= SUSPECT_BLAME_PERCENT || observed().count() >= SUSPECT_CRASH_COUNT;
 	}
 
 	/**
@@ -128,44 +129,44 @@
 	 * @param now the steady clock
 	 * @return how careful to be
 	 */
-	Caution caution(long now) {
-		if (!suspect()) {
-			return Caution.NONE;
+	IsolationLevel isolation(long now) {
+		if (!isSuspect()) {
+			return IsolationLevel.NONE;
 		}
-		return (now < this.aloneUntil) ? Caution.ALONE : Caution.LITTLE_AT_STAKE;
+		return (now < this.isolatedUntilMillis) ? IsolationLevel.ALONE : IsolationLevel.MINIMIZE_IMPACT;
 	}
 
 	/**
 	 * Until what age its runs may still crash their worker.
 	 * @return milliseconds at work
 	 */
-	long dangerousMillis() {
-		return oldestMillis() + OUTLIVED_MILLIS;
+	long riskPeriodMillis() {
+		return maxAgeMillis() + SAFE_AGE_MARGIN_MILLIS;
 	}
 
 	List<Crash> crashes() {
 		return this.crashes;
 	}
 
-	void restore(List<Crash> kept) {
+	void restore(List<Crash> persisted) {
 		this.crashes.clear();
-		this.crashes.addAll(kept);
+		this.crashes.addAll(persisted);
 	}
 
 	int blamePercent() {
 		return this.crashes.stream().mapToInt(Crash::blamePercent).sum();
 	}
 
-	private Stream<Crash> seen() {
+	private Stream<Crash> observed() {
 		return this.crashes.stream().filter(Crash::seen);
 	}
 
-	private long oldestMillis() {
-		return seen().mapToLong(Crash::ageMillis).max().orElse(0);
+	private long maxAgeMillis() {
+		return observed().mapToLong(Crash::ageMillis).max().orElse(0);
 	}
 
-	private long youngestMillis() {
-		return seen().mapToLong(Crash::ageMillis).min().orElse(0);
+	private long minAgeMillis() {
+		return observed().mapToLong(Crash::ageMillis).min().orElse(0);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/Outlook.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DeadlineEstimate.java
@@ -19,18 +19,18 @@
  * 1970
  * @param remainingCoreSeconds the work that its job has left
  */
-record Outlook(Timeliness timeliness, long latestStartMillis, double remainingCoreSeconds) {
+record DeadlineEstimate(Timeliness timeliness, long latestStartMillis, double remainingCoreSeconds) {
 
 	/** Up to three objectives after its hand-in a result is late but still of use. */
-	private static final int OBJECTIVES_OF_USE = 3;
+	private static final int MAX_USEFUL_OBJECTIVES = 3;
 
 	/**
 	 * After as many objectives it no longer waits behind newer work: three times as long
 	 * as a late result is of use.
 	 */
-	private static final int OBJECTIVES_TO_STARVE = 9;
+	private static final int STARVATION_OBJECTIVES = 9;
 
-	private static final double MILLIS = 1_000.0;
+	private static final double MILLIS_PER_SECOND = 1_000.0;
 
 	/**
 	 * Works out the outlook of a step.
@@ -41,19 +41,19 @@
 	 * @param eligible the workers that may run it
 	 * @return its outlook
 	 */
-	static Outlook of(long wallMillis, JobQueue queue, StepState step, long dueMillis, List<Worker> eligible) {
+	static DeadlineEstimate of(long wallMillis, JobQueue queue, StepState step, long dueMillis, List<Worker> eligible) {
 		long latest = latestStart(queue, step, dueMillis, 1);
 		double remaining = step.job().remainingCoreSeconds();
 		if (step.spec().lasting()) {
-			return new Outlook(Timeliness.IN_TIME, latest, remaining);
+			return new DeadlineEstimate(Timeliness.IN_TIME, latest, remaining);
 		}
 		boolean inTime = wallMillis <= latest && fitsInTime(latest - wallMillis, step, eligible);
-		Timeliness timeliness = inTime ? Timeliness.IN_TIME : behindTime(wallMillis, queue, step, dueMillis);
-		return new Outlook(timeliness, latest, remaining);
+		Timeliness timeliness = inTime ? Timeliness.IN_TIME : lateness(wallMillis, queue, step, dueMillis);
+		return new DeadlineEstimate(timeliness, latest, remaining);
 	}
 
-	Outlook asIfInTime() {
-		return new Outlook(Timeliness.IN_TIME, this.latestStartMillis, this.remainingCoreSeconds);
+	DeadlineEstimate asIfInTime() {
+		return new DeadlineEstimate(Timeliness.IN_TIME, this.latestStartMillis, this.remainingCoreSeconds);
 	}
 
 	/**
@@ -65,15 +65,16 @@
 	 * @return milliseconds since 1970
 	 */
 	static long latestStart(JobQueue queue, StepState step, long dueMillis, int objectives) {
-		double objective = queue.stretch() * step.job().chainMillis(step.occurrence()) + queue.latencyObjectiveMillis();
-		return dueMillis + (long) (objectives * objective) - step.tailMillis();
+		double objective = queue.stretch() * step.job().criticalPathMillis(step.occurrence())
+				+ queue.latencyObjectiveMillis();
+		return dueMillis + (long) (objectives * objective) - step.criticalPathMillis();
 	}
 
-	private static Timeliness behindTime(long now, JobQueue queue, StepState step, long dueMillis) {
-		if (now <= latestStart(queue, step, dueMillis, OBJECTIVES_OF_USE)) {
+	private static Timeliness lateness(long now, JobQueue queue, StepState step, long dueMillis) {
+		if (now <= latestStart(queue, step, dueMillis, MAX_USEFUL_OBJECTIVES)) {
 			return Timeliness.LATE;
 		}
-		return (now <= latestStart(queue, step, dueMillis, OBJECTIVES_TO_STARVE)) ? Timeliness.EXPIRED
+		return (now <= latestStart(queue, step, dueMillis, STARVATION_OBJECTIVES)) ? Timeliness.EXPIRED
 				: Timeliness.STARVED;
 	}
 
@@ -82,7 +83,7 @@
 	private static boolean fitsInTime(long slackMillis, StepState step, List<Worker> eligible) {
 		long expected = Math.max(1, step.expectedMillis());
 		long waves = 1 + slackMillis / expected;
-		return step.undone() <= waves * slots(step.spec(), eligible);
+		return step.unfinishedTaskCount() <= waves * slots(step.spec(), eligible);
 	}
 
 	private static long slots(Step step, List<Worker> eligible) {
@@ -95,8 +96,8 @@
 
 	private static long slots(Step step, ResourceAmount capacity) {
 		long slots = capacity.holds(step.room());
-		int most = step.placement().mostPerWorker();
-		return (most > 0) ? Math.min(most, slots) : slots;
+		int maxPerWorker = step.placement().mostPerWorker();
+		return (maxPerWorker > 0) ? Math.min(maxPerWorker, slots) : slots;
 	}
 
 	/**
@@ -106,7 +107,7 @@
 	 * @return core-seconds, an accelerator counting for several cores
 	 */
 	static double coreSeconds(StepState step, long tasks) {
-		return step.spec().demand().coreEquivalents() * tasks * step.expectedMillis() / MILLIS;
+		return step.spec().demand().coreEquivalents() * tasks * step.expectedMillis() / MILLIS_PER_SECOND;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
@@ -21,46 +21,46 @@
 
 	private final SchedulerState state;
 
-	private final RunLedger ledger;
+	private final RunLifecycle runLifecycle;
 
-	private final WorkerReports reports;
+	private final WorkerReportHandler reportHandler;
 
-	private final PlacementRound round;
+	private final PlacementRound placementRound;
 
-	private final EndedJobs endedJobs;
+	private final EndedJobCleanup endedJobCleanup;
 
-	private final SavedWork savedWork;
+	private final CheckpointPersister checkpointPersister;
 
 	public DefaultWorkflowScheduler(SchedulerPolicy policy) {
 		this.state = new SchedulerState(policy);
-		this.ledger = new RunLedger(this.state);
-		this.reports = new WorkerReports(this.state, this.ledger);
-		this.round = new PlacementRound(this.state, this.ledger);
-		this.endedJobs = new EndedJobs(this.state);
-		this.savedWork = new SavedWork(this.state);
+		this.runLifecycle = new RunLifecycle(this.state);
+		this.reportHandler = new WorkerReportHandler(this.state, this.runLifecycle);
+		this.placementRound = new PlacementRound(this.state, this.runLifecycle);
+		this.endedJobCleanup = new EndedJobCleanup(this.state);
+		this.checkpointPersister = new CheckpointPersister(this.state);
 	}
 
 	@Override
 	public List<WorkflowCommand> handle(Instant now, WorkflowEvent event) {
 		this.state.now(now);
-		if (!declared(event) && !term(event) && this.state.epoch() != 0) {
-			decide(event);
+		if (!handleConfiguration(event) && !handleTerm(event) && this.state.epoch() != 0) {
+			handleInTerm(event);
 		}
 		if (this.state.epoch() != 0 && completesBatch(event)) {
-			this.state.writeAhead().flush(this.state.commands());
+			this.state.writeAheadBuffer().flush(this.state.commands());
 		}
 		return this.state.takeCommands();
 	}
 
 	@Override
 	public Optional<JobPhase> phase(String job) {
-		return Optional.ofNullable(this.state.jobs().get(job)).map(JobState::keptPhase);
+		return Optional.ofNullable(this.state.jobs().get(job)).map(JobState::persistedPhase);
 	}
 
 	@Override
 	public Optional<String> failure(String job) {
 		return Optional.ofNullable(this.state.jobs().get(job))
-			.filter((known) -> known.keptPhase() == JobPhase.FAILED)
+			.filter((known) -> known.persistedPhase() == JobPhase.FAILED)
 			.flatMap((known) -> known.toRecord().failure());
 	}
 
@@ -81,10 +81,10 @@
 		return event instanceof WorkflowEvent.PlacementDue || event instanceof WorkflowEvent.Tick;
 	}
 
-	private boolean declared(WorkflowEvent event) {
+	private boolean handleConfiguration(WorkflowEvent event) {
 		if (event instanceof WorkflowEvent.ConfigurationChanged changed) {
 			this.state.configuration(changed.configuration());
-			this.ledger.failUsedUp();
+			this.runLifecycle.failExhaustedJobs();
 			return true;
 		}
 		if (event instanceof WorkflowEvent.ZonesOutChanged changed) {
@@ -94,24 +94,24 @@
 		return false;
 	}
 
-	private boolean term(WorkflowEvent event) {
+	private boolean handleTerm(WorkflowEvent event) {
 		if (event instanceof WorkflowEvent.TermBegan began) {
-			this.round.clear();
-			this.endedJobs.clear();
+			this.placementRound.clear();
+			this.endedJobCleanup.clear();
 			this.state.beginTerm(began.epoch());
 			began.jobs().forEach(this::restore);
-			this.ledger.failUsedUp();
+			this.runLifecycle.failExhaustedJobs();
 			return true;
 		}
 		if (event instanceof WorkflowEvent.TermEnded) {
-			this.round.clear();
+			this.placementRound.clear();
 			this.state.endTerm();
 			return true;
 		}
 		return false;
 	}
 
-	private void decide(WorkflowEvent event) {
+	private void handleInTerm(WorkflowEvent event) {
 		if (event instanceof WorkflowEvent.JobAccepted accepted) {
 			accept(accepted.job());
 		}
@@ -119,27 +119,27 @@
 			cancel(cancel.job());
 		}
 		else if (event instanceof WorkflowEvent.WorkerReported reported) {
-			this.reports.read(reported.report());
+			this.reportHandler.onReport(reported.report());
 		}
 		else if (event instanceof WorkflowEvent.WorkerHeard heard) {
-			this.reports.heard(heard.target());
+			this.reportHandler.onContact(heard.target());
 		}
 		else if (event instanceof WorkflowEvent.RunRefused refused) {
-			this.reports.refused(refused.target(), refused.task(), refused.run(), refused.why());
+			this.reportHandler.onRefusal(refused.target(), refused.task(), refused.run(), refused.why());
 		}
 		else if (event instanceof WorkflowEvent.Kept kept) {
-			this.state.writeAhead().kept(kept.sequence());
+			this.state.writeAheadBuffer().onPersisted(kept.sequence());
 		}
 		else if (event instanceof WorkflowEvent.PlacementDue) {
-			this.round.run();
+			this.placementRound.run();
 		}
 		else if (event instanceof WorkflowEvent.Tick) {
-			this.reports.timePassed();
-			this.endedJobs.timePassed();
-			this.savedWork.timePassed();
+			this.reportHandler.tick();
+			this.endedJobCleanup.tick();
+			this.checkpointPersister.tick();
 		}
 		else if (event instanceof WorkflowEvent.Forgotten forgotten) {
-			this.endedJobs.forgotten(forgotten.jobs());
+			this.endedJobCleanup.onRemoved(forgotten.jobs());
 		}
 	}
 
@@ -158,22 +158,22 @@
 		}
 		if (!job.over()) {
 			job.phase(JobPhase.CANCELLED);
-			this.state.writeAhead().changed(job);
-			job.openRuns().forEach((run) -> this.ledger.stop(run, WorkOutcome.CANCELLED));
+			this.state.writeAheadBuffer().markChanged(job);
+			job.openRuns().forEach((run) -> this.runLifecycle.stop(run, WorkOutcome.CANCELLED));
 			this.state.explain("job-cancelled", "job", id, "openRuns", job.openRuns().size());
 		}
-		this.state.writeAhead().afterKept(() -> this.state.emit(new WorkflowCommand.CancelKept(id)));
+		this.state.writeAheadBuffer().afterPersisted(() -> this.state.emit(new WorkflowCommand.CancelKept(id)));
 	}
 
-	private void restore(WorkflowEvent.KeptJob kept) {
-		JobState job = new JobState(kept.job());
+	private void restore(WorkflowEvent.KeptJob persisted) {
+		JobState job = new JobState(persisted.job());
 		this.state.jobs().put(job.id(), job);
-		kept.progress().ifPresent((progress) -> restore(job, progress));
+		persisted.progress().ifPresent((progress) -> restore(job, progress));
 		int openRuns = job.openRuns().size();
 		if (openRuns > 0) {
 			this.state.explain("job-inherited", "job", job.id(), "phase", job.phase(), "openRuns", openRuns);
 		}
-		if (kept.cancelled()) {
+		if (persisted.cancelled()) {
 			cancel(job.id());
 		}
 	}
@@ -189,7 +189,7 @@
 				inherit(step.tasks().get(task.index()), open);
 			}
 		}
-		this.ledger.stopObsolete(job);
+		this.runLifecycle.stopObsolete(job);
 	}
 
 	// Runs of earlier terms may name several lives of one worker. They are all taken to
@@ -205,7 +205,7 @@
 		Run run = Run.inherited(task, open, worker);
 		task.openRuns().add(run);
 		worker.add(run);
-		this.ledger.watch(run);
+		this.runLifecycle.beginProbationIfSuspect(run);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/EndedJobs.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/EndedJobCleanup.java
@@ -11,57 +11,57 @@
  * Has ended jobs removed once nobody asks for them any more: each is read again by every
  * new holder of the term, and the store would fill up. Mutable; owned by the scheduler.
  */
-final class EndedJobs {
+final class EndedJobCleanup {
 
 	/**
 	 * Ended jobs are looked for this often; a removal is paid for like any other write.
 	 */
-	private static final long SWEEP_MILLIS = 10_000;
+	private static final long SWEEP_INTERVAL_MILLIS = 10_000;
 
 	/** A job has up to two rows in one transaction of a hundred. */
-	private static final int MOST_AT_ONCE = 40;
+	private static final int MAX_JOBS_PER_REMOVAL = 40;
 
 	/**
 	 * A repeated hand-in that was on its way for long must still find the job, in
 	 * milliseconds. Such calls come some seconds late.
 	 */
-	private static final long LATE_REPEAT_MILLIS = 60_000;
+	private static final long LATE_RETRY_MILLIS = 60_000;
 
 	private final SchedulerState state;
 
-	private final Map<String, Long> endedSince = new HashMap<>();
+	private final Map<String, Long> endedSinceMillis = new HashMap<>();
 
-	private long nextSweep;
+	private long nextSweepMillis;
 
-	EndedJobs(SchedulerState state) {
+	EndedJobCleanup(SchedulerState state) {
 		this.state = state;
 	}
 
 	void clear() {
-		this.endedSince.clear();
+		this.endedSinceMillis.clear();
 	}
 
-	void timePassed() {
+	void tick() {
 		long now = this.state.steadyMillis();
-		if (now < this.nextSweep) {
+		if (now < this.nextSweepMillis) {
 			return;
 		}
-		this.nextSweep = now + SWEEP_MILLIS;
-		List<String> forgettable = new ArrayList<>();
+		this.nextSweepMillis = now + SWEEP_INTERVAL_MILLIS;
+		List<String> removable = new ArrayList<>();
 		for (JobState job : this.state.jobs().values()) {
-			if (forgettable.size() < MOST_AT_ONCE && isForgettable(now, job)) {
-				forgettable.add(job.id());
+			if (removable.size() < MAX_JOBS_PER_REMOVAL && isRemovable(now, job)) {
+				removable.add(job.id());
 			}
 		}
-		if (!forgettable.isEmpty()) {
-			this.state.emit(new WorkflowCommand.Forget(forgettable));
+		if (!removable.isEmpty()) {
+			this.state.emit(new WorkflowCommand.Forget(removable));
 		}
 	}
 
-	void forgotten(List<String> jobs) {
+	void onRemoved(List<String> jobs) {
 		for (String job : jobs) {
 			this.state.jobs().remove(job);
-			this.endedSince.remove(job);
+			this.endedSinceMillis.remove(job);
 		}
 		this.state.explain("jobs-forgotten", "jobs", jobs.size(), "known", this.state.jobs().size());
 	}
@@ -69,12 +69,12 @@
 	// Since when a job is over is not kept. After a change of holder the time begins
 	// anew,
 	// which keeps it longer and never shorter.
-	private boolean isForgettable(long now, JobState job) {
-		if (!job.keptPhase().over() || !job.openRuns().isEmpty()) {
+	private boolean isRemovable(long now, JobState job) {
+		if (!job.persistedPhase().over() || !job.openRuns().isEmpty()) {
 			return false;
 		}
-		long since = this.endedSince.computeIfAbsent(job.id(), (id) -> now);
-		return now - since >= this.state.policy().statusMillis() + LATE_REPEAT_MILLIS;
+		long since = this.endedSinceMillis.computeIfAbsent(job.id(), (id) -> now);
+		return now - since >= this.state.policy().statusMillis() + LATE_RETRY_MILLIS;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/GuaranteedJobs.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/GuaranteedJobs.java
@@ -27,7 +27,7 @@
 	}
 
 	static GuaranteedJobs of(SchedulerState state) {
-		Map<String, Long> byCustomer = new HashMap<>();
+		Map<String, Long> acceleratorsByCustomer = new HashMap<>();
 		Set<String> jobs = new HashSet<>();
 		for (JobState job : state.jobs().values()) {
 			boolean urgent = state.queueOf(job).map((queue) -> queue.urgent()).orElse(false);
@@ -35,9 +35,9 @@
 			if (job.over() || !urgent || customer.isEmpty()) {
 				continue;
 			}
-			long sum = byCustomer.getOrDefault(customer.get().name(), 0L) + accelerators(job);
+			long sum = acceleratorsByCustomer.getOrDefault(customer.get().name(), 0L) + accelerators(job);
 			if (sum <= customer.get().guaranteedAccelerators()) {
-				byCustomer.put(customer.get().name(), sum);
+				acceleratorsByCustomer.put(customer.get().name(), sum);
 				jobs.add(job.id());
 			}
 		}
--- a/core/src/main/java/org/almondmount/workflow/impl/Caution.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/IsolationLevel.java
@@ -3,18 +3,18 @@
 /**
  * What company a unit may have on its worker, by the crashes that its tasks were under.
  */
-enum Caution {
+enum IsolationLevel {
 
 	/** Any. */
 	NONE,
 
 	/** It is a suspect: it goes where it would take the least work down with it. */
-	LITTLE_AT_STAKE,
+	MINIMIZE_IMPACT,
 
 	/** It is a suspect, and waits for a worker on which nothing else runs. */
 	ALONE;
 
-	boolean suspect() {
+	boolean isSuspect() {
 		return this != NONE;
 	}
 
@@ -25,10 +25,10 @@
 	 * @return whether work of other steps there keeps the unit away
 	 */
 	boolean forbids(Worker worker, StepState step) {
-		return this == ALONE && worker.runsOtherThan(step);
+		return this == ALONE && worker.runsOtherStep(step);
 	}
 
-	Caution orMore(Caution other) {
+	IsolationLevel stricterOf(IsolationLevel other) {
 		return (compareTo(other) >= 0) ? this : other;
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/JobState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/JobState.java
@@ -25,9 +25,9 @@
 
 	private JobPhase phase = JobPhase.QUEUED;
 
-	private JobPhase keptPhase = JobPhase.QUEUED;
+	private JobPhase persistedPhase = JobPhase.QUEUED;
 
-	private double unkeptCoreSeconds;
+	private double unpersistedCoreSeconds;
 
 	JobState(Workflow workflow) {
 		this.workflow = workflow;
@@ -37,7 +37,7 @@
 				this.steps.put(key, new StepState(this, key, workflow.steps().get(number)));
 			}
 		}
-		expect(new RunTimes());
+		updateEstimates(new RunTimeEstimator());
 	}
 
 	Workflow workflow() {
@@ -64,12 +64,12 @@
 		this.phase = next;
 	}
 
-	JobPhase keptPhase() {
-		return this.keptPhase;
+	JobPhase persistedPhase() {
+		return this.persistedPhase;
 	}
 
-	void keptPhase(JobPhase kept) {
-		this.keptPhase = kept;
+	void persistedPhase(JobPhase persisted) {
+		this.persistedPhase = persisted;
 	}
 
 	boolean over() {
@@ -80,17 +80,17 @@
 	 * Work that a checkpoint holds which is not kept yet.
 	 * @return core-seconds since the last checkpoints that were kept
 	 */
-	double unkeptCoreSeconds() {
-		return this.unkeptCoreSeconds;
+	double unpersistedCoreSeconds() {
+		return this.unpersistedCoreSeconds;
 	}
 
-	void saved(double coreSeconds) {
-		this.unkeptCoreSeconds += coreSeconds;
+	void addCheckpointedWork(double coreSeconds) {
+		this.unpersistedCoreSeconds += coreSeconds;
 	}
 
 	/** All that is known of it goes into the next transaction. */
-	void beingKept() {
-		this.unkeptCoreSeconds = 0;
+	void clearUnpersistedWork() {
+		this.unpersistedCoreSeconds = 0;
 	}
 
 	/**
@@ -98,9 +98,9 @@
 	 * @param step the step
 	 * @return whether its turn has come
 	 */
-	boolean turnOf(StepState step) {
-		for (int earlier : step.spec().after()) {
-			if (!step(step.occurrence(), earlier).done()) {
+	boolean predecessorsDone(StepState step) {
+		for (int predecessor : step.spec().after()) {
+			if (!step(step.occurrence(), predecessor).done()) {
 				return false;
 			}
 		}
@@ -109,16 +109,17 @@
 
 	/**
 	 * Works out anew how long its steps will probably take.
-	 * @param times what was learnt of tasks
+	 * @param estimator what was learnt of tasks
 	 */
-	void expect(RunTimes times) {
-		Map<StepKey, Long> followers = new HashMap<>();
-		List<StepState> lastFirst = new ArrayList<>(this.steps.values());
-		Collections.reverse(lastFirst);
-		for (StepState step : lastFirst) {
-			step.expect(times, followers.getOrDefault(step.key(), 0L));
-			for (int earlier : step.spec().after()) {
-				followers.merge(new StepKey(step.occurrence(), earlier), step.tailMillis(), Math::max);
+	void updateEstimates(RunTimeEstimator estimator) {
+		Map<StepKey, Long> followerPathMillis = new HashMap<>();
+		List<StepState> reversedSteps = new ArrayList<>(this.steps.values());
+		Collections.reverse(reversedSteps);
+		for (StepState step : reversedSteps) {
+			step.updateEstimate(estimator, followerPathMillis.getOrDefault(step.key(), 0L));
+			for (int predecessor : step.spec().after()) {
+				followerPathMillis.merge(new StepKey(step.occurrence(), predecessor), step.criticalPathMillis(),
+						Math::max);
 			}
 		}
 	}
@@ -128,10 +129,10 @@
 	 * @param occurrence the occurrence
 	 * @return milliseconds
 	 */
-	long chainMillis(int occurrence) {
+	long criticalPathMillis(int occurrence) {
 		long longest = 0;
 		for (int number = 0; number < this.workflow.steps().size(); number++) {
-			longest = Math.max(longest, step(occurrence, number).tailMillis());
+			longest = Math.max(longest, step(occurrence, number).criticalPathMillis());
 		}
 		return longest;
 	}
@@ -139,7 +140,7 @@
 	double remainingCoreSeconds() {
 		double sum = 0;
 		for (StepState step : this.steps.values()) {
-			sum += Outlook.coreSeconds(step, step.undone());
+			sum += DeadlineEstimate.coreSeconds(step, step.unfinishedTaskCount());
 		}
 		return sum;
 	}
@@ -170,7 +171,7 @@
 				doneSteps.add(step.key());
 			}
 			for (TaskState task : step.tasks()) {
-				if (!task.idle() || (!step.done() && task.hasHistory())) {
+				if (!task.idle() || (!step.done() && task.hasRun())) {
 					tasks.add(task.toRecord());
 				}
 			}
@@ -180,18 +181,18 @@
 
 	/**
 	 * Takes over what was kept; open runs are left to the caller.
-	 * @param kept the record
+	 * @param persisted the record
 	 */
-	void restore(JobRecord kept) {
-		this.phase = kept.phase();
-		this.keptPhase = kept.phase();
-		for (TaskRecord task : kept.tasks()) {
+	void restore(JobRecord persisted) {
+		this.phase = persisted.phase();
+		this.persistedPhase = persisted.phase();
+		for (TaskRecord task : persisted.tasks()) {
 			StepState step = this.steps.get(task.step());
 			if (step != null && task.index() < step.tasks().size()) {
 				step.tasks().get(task.index()).restore(task);
 			}
 		}
-		for (StepKey key : kept.doneSteps()) {
+		for (StepKey key : persisted.doneSteps()) {
 			StepState step = this.steps.get(key);
 			if (step != null) {
 				step.restoreDone();
--- a/core/src/main/java/org/almondmount/workflow/impl/WaitingWork.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PendingUnits.java
@@ -16,7 +16,7 @@
  * Finds what waits for a worker, and the order in which it is placed. Owned by the
  * scheduler.
  */
-final class WaitingWork {
+final class PendingUnits {
 
 	/**
 	 * Guaranteed work first; what is of no use any more last. In between the urgent
@@ -24,10 +24,10 @@
 	 * to start earliest.
 	 */
 	private static final Comparator<WorkUnit> ORDER = Comparator.comparing((WorkUnit unit) -> !unit.guaranteed())
-		.thenComparing((unit) -> unit.outlook().timeliness().waitsBehindAll())
+		.thenComparing((unit) -> unit.deadline().timeliness().waitsBehindAll())
 		.thenComparingInt((unit) -> unit.queue().priority())
-		.thenComparing((unit) -> !unit.outlook().timeliness().earliestFirst())
-		.thenComparingDouble(WaitingWork::rankWithin);
+		.thenComparing((unit) -> !unit.deadline().timeliness().earliestFirst())
+		.thenComparingDouble(PendingUnits::rankWithinQueue);
 
 	private final SchedulerState state;
 
@@ -36,7 +36,7 @@
 	/** Workers by pool and required label, as far as this round has asked for them. */
 	private final Map<List<String>, List<Worker>> eligible = new HashMap<>();
 
-	WaitingWork(SchedulerState state) {
+	PendingUnits(SchedulerState state) {
 		this.state = state;
 	}
 
@@ -44,7 +44,7 @@
 	 * What could start now if there was room.
 	 * @return the units in the order in which they are placed
 	 */
-	List<WorkUnit> inOrder() {
+	List<WorkUnit> inPlacementOrder() {
 		this.guaranteed = GuaranteedJobs.of(this.state);
 		this.eligible.clear();
 		List<WorkUnit> units = new ArrayList<>();
@@ -53,12 +53,12 @@
 			if (job.over() || queue.isEmpty()) {
 				continue;
 			}
-			if (job.steps().stream().noneMatch(StepState::anyIdle)) {
+			if (job.steps().stream().noneMatch(StepState::hasStartableTask)) {
 				continue;
 			}
-			job.expect(this.state.runTimes());
+			job.updateEstimates(this.state.runTimeEstimator());
 			for (StepState step : job.steps()) {
-				if (!step.done() && isDue(step) && job.turnOf(step) && step.anyIdle()) {
+				if (!step.done() && isDue(step) && job.predecessorsDone(step) && step.hasStartableTask()) {
 					addUnits(units, queue.get(), step, isGuaranteed(job));
 				}
 			}
@@ -76,9 +76,9 @@
 		return this.guaranteed.contains(job);
 	}
 
-	private static double rankWithin(WorkUnit unit) {
-		Outlook outlook = unit.outlook();
-		return outlook.timeliness().earliestFirst() ? outlook.latestStartMillis() : outlook.remainingCoreSeconds();
+	private static double rankWithinQueue(WorkUnit unit) {
+		DeadlineEstimate deadline = unit.deadline();
+		return deadline.timeliness().earliestFirst() ? deadline.latestStartMillis() : deadline.remainingCoreSeconds();
 	}
 
 	private boolean isDue(StepState step) {
@@ -93,36 +93,37 @@
 		if (eligible.isEmpty()) {
 			return;
 		}
-		Outlook outlook = Outlook.of(this.state.wallMillis(), queue, step, dueMillis(step), eligible);
+		DeadlineEstimate deadline = DeadlineEstimate.of(this.state.wallMillis(), queue, step, dueMillis(step),
+				eligible);
 		if (!this.state.has(SchedulerFeature.LATE_WAITS_BEHIND)) {
-			outlook = outlook.asIfInTime();
+			deadline = deadline.asIfInTime();
 		}
 		if (step.spec().gang()) {
 			if (step.allIdle()) {
-				units
-					.add(new WorkUnit(queue, step, step.tasks(), eligible, outlook, guaranteed, caution(step.tasks())));
+				units.add(new WorkUnit(queue, step, step.tasks(), eligible, deadline, guaranteed,
+						isolation(step.tasks())));
 			}
 			return;
 		}
 		for (TaskState task : step.tasks()) {
 			if (task.idle() && !task.done()) {
-				List<TaskState> alone = List.of(task);
-				units.add(new WorkUnit(queue, step, alone, eligible, outlook, guaranteed, caution(alone)));
+				List<TaskState> single = List.of(task);
+				units.add(new WorkUnit(queue, step, single, eligible, deadline, guaranteed, isolation(single)));
 			}
 		}
 	}
 
-	private Caution caution(List<TaskState> tasks) {
-		Caution caution = Caution.NONE;
+	private IsolationLevel isolation(List<TaskState> tasks) {
+		IsolationLevel isolation = IsolationLevel.NONE;
 		if (!this.state.has(SchedulerFeature.SET_SUSPECTS_APART)) {
-			return caution;
+			return isolation;
 		}
 		for (TaskState task : tasks) {
 			if (!task.crashes().isEmpty()) {
-				caution = caution.orMore(task.crashes().caution(this.state.steadyMillis()));
+				isolation = isolation.stricterOf(task.crashes().isolation(this.state.steadyMillis()));
 			}
 		}
-		return caution;
+		return isolation;
 	}
 
 	/**
@@ -138,11 +139,11 @@
 	private List<Worker> eligible(String pool, String label) {
 		List<Worker> eligible = new ArrayList<>();
 		for (Worker worker : this.state.workers().values()) {
-			if (!this.state.mayStartOn(worker)) {
+			if (!this.state.canStartOn(worker)) {
 				continue;
 			}
-			WorkerDescription said = worker.description().orElseThrow();
-			if (said.pool().equals(pool) && (label.isEmpty() || said.labels().contains(label))) {
+			WorkerDescription description = worker.description().orElseThrow();
+			if (description.pool().equals(pool) && (label.isEmpty() || description.labels().contains(label))) {
 				eligible.add(worker);
 			}
 		}
--- a/core/src/main/java/org/almondmount/workflow/impl/PlacementRound.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PlacementRound.java
@@ -21,66 +21,66 @@
 final class PlacementRound {
 
 	/** The first units that do not fit; more would leave the fleet idle for guesses. */
-	private static final int MOST_RESERVATIONS = 2;
+	private static final int MAX_RESERVATIONS = 2;
 
 	/** Part of the fleet's room that may stand idle beside work that would fit. */
-	private static final double MOST_KEPT_IDLE = 0.5;
+	private static final double MAX_RESERVED_SHARE = 0.5;
 
 	/**
 	 * Work that an urgent job beyond its guarantee may have thrown away, in parts of its
 	 * own. An urgent result is worth about three times as much to its caller as the same
 	 * work of the next queue, and what gives way waits for it besides.
 	 */
-	private static final double MOST_THROWN_AWAY = 2.0;
+	private static final double MAX_PREEMPTION_COST_RATIO = 2.0;
 
 	/**
 	 * Work that is thrown away rather than have an urgent caller wait, in parts of the
 	 * urgent job's own.
 	 */
-	private static final double NEXT_TO_NOTHING = 0.1;
+	private static final double NEGLIGIBLE_COST_RATIO = 0.1;
 
 	/**
 	 * Nothing gives way so early in a term, in milliseconds: targets come to a new holder
 	 * one after the other, and room that is not known yet looks like no room.
 	 */
-	private static final long SETTLING_MILLIS = 1_000;
+	private static final long PREEMPTION_DELAY_MILLIS = 1_000;
 
 	/**
 	 * A guarantee does not wait for the last of them, in milliseconds: it has a bound of
 	 * its own, of which a stop takes a part.
 	 */
-	private static final long GUARANTEE_SETTLING_MILLIS = 300;
+	private static final long GUARANTEE_PREEMPTION_DELAY_MILLIS = 300;
 
 	private final SchedulerState state;
 
-	private final RunLedger ledger;
+	private final RunLifecycle runLifecycle;
 
-	private final WaitingWork waiting;
+	private final PendingUnits pendingUnits;
 
 	private final Placer placer;
 
-	private final Preemption preemption;
+	private final PreemptionPlanner preemptionPlanner;
 
 	private final List<Reservation> reservations = new ArrayList<>();
 
 	/** Steps of which a task found no room in this round: the others find none either. */
-	private final Set<StepState> full = new HashSet<>();
+	private final Set<StepState> unplaceableSteps = new HashSet<>();
 
 	/**
 	 * Room that is being cleared, by the first task of the unit that it is cleared for.
 	 */
-	private final Map<TaskState, Map<TaskState, Worker>> cleared = new LinkedHashMap<>();
+	private final Map<TaskState, Map<TaskState, Worker>> preemptedPlacements = new LinkedHashMap<>();
 
-	PlacementRound(SchedulerState state, RunLedger ledger) {
+	PlacementRound(SchedulerState state, RunLifecycle runLifecycle) {
 		this.state = state;
-		this.ledger = ledger;
-		this.waiting = new WaitingWork(state);
+		this.runLifecycle = runLifecycle;
+		this.pendingUnits = new PendingUnits(state);
 		this.placer = new Placer(state.policy(), state::steadyMillis);
-		this.preemption = new Preemption(this.placer);
+		this.preemptionPlanner = new PreemptionPlanner(this.placer);
 	}
 
 	void clear() {
-		this.cleared.clear();
+		this.preemptedPlacements.clear();
 	}
 
 	/** Starts what can be started. */
@@ -88,97 +88,98 @@
 		if (this.state.epoch() == 0) {
 			return;
 		}
-		List<WorkUnit> units = this.waiting.inOrder();
-		Set<TaskState> firsts = units.stream().map(WorkUnit::first).collect(Collectors.toSet());
-		this.cleared.keySet().retainAll(firsts);
+		List<WorkUnit> units = this.pendingUnits.inPlacementOrder();
+		Set<TaskState> firstTasks = units.stream().map(WorkUnit::firstTask).collect(Collectors.toSet());
+		this.preemptedPlacements.keySet().retainAll(firstTasks);
 		this.reservations.clear();
-		this.full.clear();
+		this.unplaceableSteps.clear();
 		for (WorkUnit unit : units) {
-			if (!this.full.contains(unit.step())) {
+			if (!this.unplaceableSteps.contains(unit.step())) {
 				place(unit);
 			}
 		}
 	}
 
 	private void place(WorkUnit unit) {
-		Optional<Map<TaskState, Worker>> found = this.placer.place(unit, unit.workers(), () -> roomFor(unit))
-			.or(() -> whereRoomWasCleared(unit));
+		Optional<Map<TaskState, Worker>> found = this.placer.place(unit, unit.workers(), () -> capacityFor(unit))
+			.or(() -> placeOnPreemptedCapacity(unit));
 		if (found.isPresent()) {
-			this.cleared.remove(unit.first());
-			this.ledger.open(unit, found.get());
+			this.preemptedPlacements.remove(unit.firstTask());
+			this.runLifecycle.open(unit, found.get());
 			return;
 		}
-		if (!this.cleared.containsKey(unit.first())) {
-			makeRoom(unit);
+		if (!this.preemptedPlacements.containsKey(unit.firstTask())) {
+			tryPreempt(unit);
 		}
-		if (this.cleared.containsKey(unit.first())) {
+		if (this.preemptedPlacements.containsKey(unit.firstTask())) {
 			return;
 		}
-		boolean worthKeepingRoom = this.state.has(SchedulerFeature.RESERVE_ROOM)
-				&& !unit.outlook().timeliness().waitsBehindAll();
-		if (worthKeepingRoom && this.reservations.size() < MOST_RESERVATIONS) {
+		boolean worthReserving = this.state.has(SchedulerFeature.RESERVE_ROOM)
+				&& !unit.deadline().timeliness().waitsBehindAll();
+		if (worthReserving && this.reservations.size() < MAX_RESERVATIONS) {
 			reserve(unit);
 			return;
 		}
 		if (!unit.guaranteed()) {
-			this.full.add(unit.step());
+			this.unplaceableSteps.add(unit.step());
 		}
 	}
 
 	// Room that was cleared over several racks is not found where only whole racks are
 	// looked at.
-	private Optional<Map<TaskState, Worker>> whereRoomWasCleared(WorkUnit unit) {
-		Map<TaskState, Worker> cleared = this.cleared.get(unit.first());
-		if (cleared == null) {
+	private Optional<Map<TaskState, Worker>> placeOnPreemptedCapacity(WorkUnit unit) {
+		Map<TaskState, Worker> preempted = this.preemptedPlacements.get(unit.firstTask());
+		if (preempted == null) {
 			return Optional.empty();
 		}
-		List<Worker> workers = cleared.values().stream().distinct().filter(unit.workers()::contains).toList();
-		return Placer.fillInOrder(unit, workers, roomFor(unit));
+		List<Worker> workers = preempted.values().stream().distinct().filter(unit.workers()::contains).toList();
+		return Placer.fillInOrder(unit, workers, capacityFor(unit));
 	}
 
 	private void reserve(WorkUnit unit) {
-		if (halfOfTheFleetWorks(unit)) {
-			earliest(unit).ifPresent(this.reservations::add);
+		if (isHalfOfFleetUsed(unit)) {
+			earliestReservation(unit).ifPresent(this.reservations::add);
 		}
 	}
 
 	// A gang that is nearly as wide as the fleet would keep all of it idle until the last
 	// run ends that stands in its way, and every other caller would wait before free
 	// workers. Work that fits takes them until half of the fleet is in use.
-	private static boolean halfOfTheFleetWorks(WorkUnit unit) {
-		ResourceAmount whole = ResourceAmount.NONE;
+	private static boolean isHalfOfFleetUsed(WorkUnit unit) {
+		ResourceAmount total = ResourceAmount.NONE;
 		ResourceAmount free = ResourceAmount.NONE;
 		for (Worker worker : unit.workers()) {
-			whole = whole.plus(worker.capacity());
+			total = total.plus(worker.capacity());
 			free = free.plus(worker.free());
 		}
-		return whole.minus(free).dominantShareOf(whole) >= 1 - MOST_KEPT_IDLE;
+		return total.minus(free).dominantShareOf(total) >= 1 - MAX_RESERVED_SHARE;
 	}
 
-	private Optional<Reservation> earliest(WorkUnit unit) {
+	private Optional<Reservation> earliestReservation(WorkUnit unit) {
 		List<Worker> workers = unit.workers();
-		boolean oneRack = this.placer.goesInOneRack(unit, workers);
+		boolean oneRack = this.placer.requiresOneRack(unit, workers);
 		List<List<Worker>> choices = oneRack ? this.placer.racks(unit, workers) : List.of(workers);
 		return Reservation.earliest(this.state.steadyMillis(), unit, choices);
 	}
 
 	// Workers tell of themselves one after the other when a term begins. Runs would be
 	// stopped for a job that finds free workers a moment later.
-	private boolean knowsTheFleet(WorkUnit unit) {
-		return this.state.termAgeMillis() >= (unit.guaranteed() ? GUARANTEE_SETTLING_MILLIS : SETTLING_MILLIS);
+	private boolean isFleetKnown(WorkUnit unit) {
+		return this.state
+			.termAgeMillis() >= (unit.guaranteed() ? GUARANTEE_PREEMPTION_DELAY_MILLIS : PREEMPTION_DELAY_MILLIS);
 	}
 
-	private void makeRoom(WorkUnit unit) {
-		if (!knowsTheFleet(unit)) {
+	private void tryPreempt(WorkUnit unit) {
+		if (!isFleetKnown(unit)) {
 			return;
 		}
 		if (unit.guaranteed()) {
-			planForGuarantee(unit, this::mayGiveWay).or(() -> planForGuarantee(unit, this::isBeyondGuarantee))
-				.ifPresent((plan) -> giveWay(unit, plan));
+			planForGuarantee(unit, this::isPreemptible).or(() -> planForGuarantee(unit, this::isBeyondGuarantee))
+				.ifPresent((plan) -> preempt(unit, plan));
 		}
 		else if (this.state.has(SchedulerFeature.GIVE_WAY_TO_URGENT) && unit.queue().urgent()
-				&& unit.outlook().timeliness() == Timeliness.IN_TIME) {
-			makeRoomBeyondGuarantee(unit);
+				&& unit.deadline().timeliness() == Timeliness.IN_TIME) {
+			preemptBeyondGuarantee(unit);
 		}
 	}
 
@@ -186,100 +187,106 @@
 	// begun or is saved loses little by making room, if all of the step's tasks fit then:
 	// one task in time does not help a job whose other tasks wait. The stop itself takes
 	// time, so that a short job gains nothing by it.
-	private void makeRoomBeyondGuarantee(WorkUnit unit) {
-		boolean stopsInTime = this.state.wallMillis() + this.state.policy().stopMillis() <= unit.outlook()
+	private void preemptBeyondGuarantee(WorkUnit unit) {
+		boolean stopsInTime = this.state.wallMillis() + this.state.policy().stopMillis() <= unit.deadline()
 			.latestStartMillis();
 		if (!stopsInTime) {
 			return;
 		}
-		WorkUnit whole = unit.withTasks(unit.step().tasks().stream().filter(this::waitsWithoutRoom).toList());
-		double own = Outlook.coreSeconds(unit.step(), whole.tasks().size());
-		plan(whole, (run) -> mayGiveWay(run) && hasTimeToWait(run, unit.step().expectedMillis()))
-			.filter((plan) -> plan.cost() <= own * MOST_THROWN_AWAY)
-			.filter((plan) -> plan.cost() <= own * NEXT_TO_NOTHING || !fitsInTimeByItself(whole))
-			.ifPresent((plan) -> giveWay(whole, plan));
+		WorkUnit unplacedTasks = unit.withTasks(unit.step().tasks().stream().filter(this::needsPlacement).toList());
+		double ownCoreSeconds = DeadlineEstimate.coreSeconds(unit.step(), unplacedTasks.tasks().size());
+		plan(unplacedTasks, (run) -> isPreemptible(run) && canRestartInTime(run, unit.step().expectedMillis()))
+			.filter((plan) -> plan.cost() <= ownCoreSeconds * MAX_PREEMPTION_COST_RATIO)
+			.filter((plan) -> plan.cost() <= ownCoreSeconds * NEGLIGIBLE_COST_RATIO
+					|| !fitsInTimeWithoutPreemption(unplacedTasks))
+			.ifPresent((plan) -> preempt(unplacedTasks, plan));
 	}
 
 	// Much of what runs ends by itself within the second or two that an urgent job can
 	// wait. Should it not, there is still time for it to give way.
-	private boolean fitsInTimeByItself(WorkUnit whole) {
+	private boolean fitsInTimeWithoutPreemption(WorkUnit unplacedTasks) {
 		if (!this.state.has(SchedulerFeature.WAIT_BEFORE_GIVING_WAY)) {
 			return false;
 		}
-		long within = whole.outlook().latestStartMillis() - this.state.wallMillis() - this.state.policy().stopMillis();
-		return earliest(whole).map((found) -> found.inMillis() <= within).orElse(false);
+		long slackMillis = unplacedTasks.deadline().latestStartMillis() - this.state.wallMillis()
+				- this.state.policy().stopMillis();
+		return earliestReservation(unplacedTasks).map((found) -> found.delayMillis() <= slackMillis).orElse(false);
 	}
 
-	private boolean waitsWithoutRoom(TaskState task) {
-		return task.idle() && !task.done() && !this.cleared.containsKey(task);
+	private boolean needsPlacement(TaskState task) {
+		return task.idle() && !task.done() && !this.preemptedPlacements.containsKey(task);
 	}
 
 	// A guarantee is reclaimed at any price, so the price is looked at before: to clear a
 	// rack may throw away many times the work that a gang loses by running slowly over
 	// several ones.
-	private Optional<Preemption.Plan> planForGuarantee(WorkUnit unit, Predicate<Run> mayGiveWay) {
-		Optional<Preemption.Plan> asPlaced = plan(unit, mayGiveWay);
-		if (asPlaced.isEmpty() || !this.placer.goesInOneRack(unit, unit.workers())) {
-			return asPlaced;
+	private Optional<PreemptionPlanner.Plan> planForGuarantee(WorkUnit unit, Predicate<Run> preemptible) {
+		Optional<PreemptionPlanner.Plan> preferredPlan = plan(unit, preemptible);
+		if (preferredPlan.isEmpty() || !this.placer.requiresOneRack(unit, unit.workers())) {
+			return preferredPlan;
 		}
-		double slowness = Outlook.coreSeconds(unit.step(), unit.tasks().size()) * (Placer.TIMES_ACROSS_RACKS - 1);
-		return this.preemption
-			.planWithin(this.state.steadyMillis(), unit, unit.workers(), () -> roomFor(unit), mayGiveWay)
-			.filter((anywhere) -> anywhere.cost() + slowness < asPlaced.get().cost())
-			.or(() -> asPlaced);
+		double slowdownCost = DeadlineEstimate.coreSeconds(unit.step(), unit.tasks().size())
+				* (Placer.CROSS_RACK_SLOWDOWN - 1);
+		return this.preemptionPlanner
+			.planWithin(this.state.steadyMillis(), unit, unit.workers(), () -> capacityFor(unit), preemptible)
+			.filter((acrossRacks) -> acrossRacks.cost() + slowdownCost < preferredPlan.get().cost())
+			.or(() -> preferredPlan);
 	}
 
-	private Optional<Preemption.Plan> plan(WorkUnit unit, Predicate<Run> mayGiveWay) {
-		return this.preemption.plan(this.state.steadyMillis(), unit, unit.workers(), () -> roomFor(unit), mayGiveWay);
+	private Optional<PreemptionPlanner.Plan> plan(WorkUnit unit, Predicate<Run> preemptible) {
+		return this.preemptionPlanner.plan(this.state.steadyMillis(), unit, unit.workers(), () -> capacityFor(unit),
+				preemptible);
 	}
 
-	private void giveWay(WorkUnit unit, Preemption.Plan plan) {
+	private void preempt(WorkUnit unit, PreemptionPlanner.Plan plan) {
 		if (unit.gang()) {
-			this.cleared.put(unit.first(), plan.placement());
+			this.preemptedPlacements.put(unit.firstTask(), plan.placement());
 		}
 		else {
-			plan.placement().forEach((task, worker) -> this.cleared.put(task, Map.of(task, worker)));
+			plan.placement().forEach((task, worker) -> this.preemptedPlacements.put(task, Map.of(task, worker)));
 		}
 		this.state.explain("runs-give-way", "job", unit.step().job().id(), "step", unit.step().number(), "guaranteed",
 				unit.guaranteed(), "victims", plan.victims().size(), "coreSeconds", Math.round(plan.cost()));
-		plan.victims().forEach((run) -> this.ledger.stop(run, WorkOutcome.GAVE_WAY));
+		plan.victims().forEach((run) -> this.runLifecycle.stop(run, WorkOutcome.GAVE_WAY));
 	}
 
 	// Where urgent work of other customers took all room beyond their own guarantees.
 	private boolean isBeyondGuarantee(Run run) {
 		StepState step = run.task().step();
-		return !this.waiting.isGuaranteed(step.job()) && step.spec().service().mayMiss() == 0;
+		return !this.pendingUnits.isGuaranteed(step.job()) && step.spec().service().mayMiss() == 0;
 	}
 
-	private boolean mayGiveWay(Run run) {
+	private boolean isPreemptible(Run run) {
 		StepState step = run.task().step();
 		boolean urgent = this.state.queueOf(step.job()).map(JobQueue::urgent).orElse(false);
 		return !urgent && step.spec().service().mayMiss() == 0;
 	}
 
 	// A run that starts anew after what it gave way to has ended must still be in time.
-	private boolean hasTimeToWait(Run run, long millis) {
+	private boolean canRestartInTime(Run run, long delayMillis) {
 		StepState step = run.task().step();
-		long again = this.state.wallMillis() + this.state.policy().stopMillis() + millis;
+		long restartMillis = this.state.wallMillis() + this.state.policy().stopMillis() + delayMillis;
 		return this.state.queueOf(step.job())
-			.map((queue) -> again <= Outlook.latestStart(queue, step, WaitingWork.dueMillis(step), 1))
+			.map((queue) -> restartMillis <= DeadlineEstimate.latestStart(queue, step, PendingUnits.dueMillis(step), 1))
 			.orElse(false);
 	}
 
 	// Room that was cleared for one unit is not there for any other.
-	private Rooms roomFor(WorkUnit unit) {
-		Rooms rooms = Rooms.free();
-		this.cleared.forEach((first, placement) -> {
-			if (first != unit.first()) {
-				placement.forEach((task, worker) -> rooms.take(worker, first.step().spec().room()));
+	private TentativeCapacity capacityFor(WorkUnit unit) {
+		TentativeCapacity capacity = TentativeCapacity.available();
+		this.preemptedPlacements.forEach((firstTask, placement) -> {
+			if (firstTask != unit.firstTask()) {
+				placement.forEach((task, worker) -> capacity.allocate(worker, firstTask.step().spec().room()));
 			}
 		});
 		for (Reservation reservation : this.reservations) {
-			if (unit.step().expectedMillis() > reservation.inMillis()) {
-				reservation.placement().values().forEach((worker) -> rooms.take(worker, reservation.unit().room()));
+			if (unit.step().expectedMillis() > reservation.delayMillis()) {
+				reservation.placement()
+					.values()
+					.forEach((worker) -> capacity.allocate(worker, reservation.unit().allocation()));
 			}
 		}
-		return rooms;
+		return capacity;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/Placer.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Placer.java
@@ -25,13 +25,13 @@
 final class Placer {
 
 	/** How many times as long a gang that wants one rack takes over several. */
-	static final double TIMES_ACROSS_RACKS = 3;
+	static final double CROSS_RACK_SLOWDOWN = 3;
 
 	/** More than the room of a whole worker, so that the near rack always wins. */
-	private static final double FAR_COST = 10;
+	private static final double REMOTE_RACK_COST = 10;
 
 	/** One failed job outweighs a better fit, not the rack of the data. */
-	private static final double DOUBT_COST = 3;
+	private static final double FAILED_JOB_COST = 3;
 
 	/** To a suspect ten core-seconds of others' work weigh as much as its data's rack. */
 	private static final double CORE_SECOND_COST = 1;
@@ -49,19 +49,20 @@
 	 * Chooses workers.
 	 * @param unit what is to be placed
 	 * @param workers those that may run it
-	 * @param rooms makes the room that is there; called for each try
+	 * @param capacities makes the room that is there; called for each try
 	 * @return the worker of each task, or empty where it does not fit now
 	 */
-	Optional<Map<TaskState, Worker>> place(WorkUnit unit, List<Worker> workers, Supplier<Rooms> rooms) {
+	Optional<Map<TaskState, Worker>> place(WorkUnit unit, List<Worker> workers,
+			Supplier<TentativeCapacity> capacities) {
 		if (!unit.gang()) {
-			return single(unit, workers, rooms.get());
+			return placeSingle(unit, workers, capacities.get());
 		}
-		Rooms room = rooms.get();
-		if (!goesInOneRack(unit, workers)) {
-			return fill(unit, workers, room);
+		TentativeCapacity capacity = capacities.get();
+		if (!requiresOneRack(unit, workers)) {
+			return fill(unit, workers, capacity);
 		}
 		for (List<Worker> rack : racks(unit, workers)) {
-			Optional<Map<TaskState, Worker>> found = fill(unit, rack, room);
+			Optional<Map<TaskState, Worker>> found = fill(unit, rack, capacity);
 			if (found.isPresent()) {
 				return found;
 			}
@@ -78,9 +79,10 @@
 	 */
 	List<List<Worker>> racks(WorkUnit unit, List<Worker> workers) {
 		Map<String, List<Worker>> racks = byRack(workers);
-		String near = unit.step().spec().placement().dataRack();
+		String dataRack = unit.step().spec().placement().dataRack();
 		List<RackChoice> choices = new ArrayList<>(racks.size());
-		racks.forEach((rack, members) -> choices.add(new RackChoice(members, rack.equals(near), freeShare(members))));
+		racks.forEach(
+				(rack, members) -> choices.add(new RackChoice(members, rack.equals(dataRack), freeWorkers(members))));
 		choices.sort(RackChoice.ORDER);
 		return choices.stream().map(RackChoice::workers).toList();
 	}
@@ -92,14 +94,14 @@
 	 * @return whether it runs fast only there, and some rack would hold it if nothing
 	 * else ran in it
 	 */
-	boolean goesInOneRack(WorkUnit unit, List<Worker> workers) {
-		return this.policy.has(SchedulerFeature.GANG_IN_ONE_RACK) && unit.wantsOneRack()
+	boolean requiresOneRack(WorkUnit unit, List<Worker> workers) {
+		return this.policy.has(SchedulerFeature.GANG_IN_ONE_RACK) && unit.prefersOneRack()
 				&& anyRackCouldHold(unit, workers);
 	}
 
 	private boolean anyRackCouldHold(WorkUnit unit, List<Worker> workers) {
-		Rooms empty = Rooms.empty();
-		return byRack(workers).values().stream().anyMatch((rack) -> empty.takesAll(rack, unit));
+		TentativeCapacity idle = TentativeCapacity.ofIdleWorkers();
+		return byRack(workers).values().stream().anyMatch((rack) -> idle.canPlaceAll(rack, unit));
 	}
 
 	private static Map<String, List<Worker>> byRack(List<Worker> workers) {
@@ -111,55 +113,56 @@
 	}
 
 	// Most of what waits does not fit, and is found out without putting workers in order.
-	private Optional<Map<TaskState, Worker>> fill(WorkUnit unit, List<Worker> workers, Rooms rooms) {
-		if (!rooms.takesAll(workers, unit)) {
+	private Optional<Map<TaskState, Worker>> fill(WorkUnit unit, List<Worker> workers, TentativeCapacity capacity) {
+		if (!capacity.canPlaceAll(workers, unit)) {
 			return Optional.empty();
 		}
 		List<WorkerChoice> choices = new ArrayList<>(workers.size());
-		ToDoubleFunction<Worker> atStake = atStake(unit);
+		ToDoubleFunction<Worker> crashLoss = crashLoss(unit);
 		for (Worker worker : workers) {
-			choices.add(new WorkerChoice(worker, atStake.applyAsDouble(worker), worker.health().doubt(),
-					fitCost(worker, rooms.free(worker))));
+			choices.add(new WorkerChoice(worker, crashLoss.applyAsDouble(worker), worker.health().failedJobCount(),
+					fitCost(worker, capacity.available(worker))));
 		}
 		choices.sort(WorkerChoice.ORDER);
-		return fillInOrder(unit, choices.stream().map(WorkerChoice::worker).toList(), rooms);
+		return fillInOrder(unit, choices.stream().map(WorkerChoice::worker).toList(), capacity);
 	}
 
 	/**
 	 * Fills one worker after the other.
 	 * @param unit what is to be placed
 	 * @param order the workers in the order in which they are filled
-	 * @param rooms the room that is there; taken as far as the unit goes
+	 * @param capacity the room that is there; taken as far as the unit goes
 	 * @return the worker of each task, or empty where not all fit
 	 */
-	static Optional<Map<TaskState, Worker>> fillInOrder(WorkUnit unit, List<Worker> order, Rooms rooms) {
+	static Optional<Map<TaskState, Worker>> fillInOrder(WorkUnit unit, List<Worker> order, TentativeCapacity capacity) {
 		Map<TaskState, Worker> placement = new LinkedHashMap<>();
 		int next = 0;
 		for (TaskState task : unit.tasks()) {
-			while (next < order.size() && !rooms.takes(order.get(next), unit)) {
+			while (next < order.size() && !capacity.canPlace(order.get(next), unit)) {
 				next++;
 			}
 			if (next == order.size()) {
 				return Optional.empty();
 			}
-			rooms.place(order.get(next), unit);
+			capacity.place(order.get(next), unit);
 			placement.put(task, order.get(next));
 		}
 		return Optional.of(placement);
 	}
 
-	private Optional<Map<TaskState, Worker>> single(WorkUnit unit, List<Worker> workers, Rooms rooms) {
-		String near = unit.step().spec().placement().dataRack();
+	private Optional<Map<TaskState, Worker>> placeSingle(WorkUnit unit, List<Worker> workers,
+			TentativeCapacity capacity) {
+		String dataRack = unit.step().spec().placement().dataRack();
 		Worker best = null;
 		double bestCost = Double.MAX_VALUE;
-		ToDoubleFunction<Worker> atStake = atStake(unit);
+		ToDoubleFunction<Worker> crashLoss = crashLoss(unit);
 		for (Worker worker : workers) {
-			if (!rooms.takes(worker, unit)) {
+			if (!capacity.canPlace(worker, unit)) {
 				continue;
 			}
-			double cost = fitCost(worker, rooms.free(worker).minus(unit.room()));
-			cost += farCost(near, worker) + worker.health().doubt() * DOUBT_COST;
-			cost += atStake.applyAsDouble(worker) * CORE_SECOND_COST;
+			double cost = fitCost(worker, capacity.available(worker).minus(unit.allocation()));
+			cost += remoteRackCost(dataRack, worker) + worker.health().failedJobCount() * FAILED_JOB_COST;
+			cost += crashLoss.applyAsDouble(worker) * CORE_SECOND_COST;
 			if (cost < bestCost) {
 				best = worker;
 				bestCost = cost;
@@ -169,12 +172,12 @@
 	}
 
 	// What a unit may take down with a worker; nothing unless it is a suspect.
-	private ToDoubleFunction<Worker> atStake(WorkUnit unit) {
-		if (!unit.caution().suspect()) {
+	private ToDoubleFunction<Worker> crashLoss(WorkUnit unit) {
+		if (!unit.isolation().isSuspect()) {
 			return (worker) -> 0;
 		}
-		GangLosses losses = losses(this.steadyMillis.getAsLong());
-		return (worker) -> losses.besides(worker, unit.step());
+		WorkLossEstimator lossEstimator = lossEstimator(this.steadyMillis.getAsLong());
+		return (worker) -> lossEstimator.lossOfOtherSteps(worker, unit.step());
 	}
 
 	/**
@@ -182,19 +185,19 @@
 	 * @param now the steady clock
 	 * @return the losses, made for one search
 	 */
-	GangLosses losses(long now) {
-		return new GangLosses(now, this.policy.checkpointing().restoreMillis());
+	WorkLossEstimator lossEstimator(long now) {
+		return new WorkLossEstimator(now, this.policy.checkpointing().restoreMillis());
 	}
 
 	private double fitCost(Worker worker, ResourceAmount free) {
 		return this.policy.has(SchedulerFeature.PACK_TIGHTLY) ? free.shareOf(worker.capacity()) : 0;
 	}
 
-	private static double farCost(String near, Worker worker) {
-		return (near.isEmpty() || near.equals(worker.rack())) ? 0 : FAR_COST;
+	private static double remoteRackCost(String dataRack, Worker worker) {
+		return (dataRack.isEmpty() || dataRack.equals(worker.rack())) ? 0 : REMOTE_RACK_COST;
 	}
 
-	private static double freeShare(List<Worker> rack) {
+	private static double freeWorkers(List<Worker> rack) {
 		double free = 0;
 		for (Worker worker : rack) {
 			free += worker.free().shareOf(worker.capacity());
@@ -206,13 +209,14 @@
 	 * A rack with what speaks for it.
 	 *
 	 * @param workers its workers
-	 * @param near whether the unit's data lie there
-	 * @param free the room of its workers that is free, in whole workers
+	 * @param nearData whether the unit's data lie there
+	 * @param freeWorkers the room of its workers that is free, in whole workers
 	 */
-	private record RackChoice(List<Worker> workers, boolean near, double free) {
+	private record RackChoice(List<Worker> workers, boolean nearData, double freeWorkers) {
 
-		private static final Comparator<RackChoice> ORDER = Comparator.comparing((RackChoice choice) -> !choice.near)
-			.thenComparingDouble(RackChoice::free);
+		private static final Comparator<RackChoice> ORDER = Comparator
+			.comparing((RackChoice choice) -> !choice.nearData)
+			.thenComparingDouble(RackChoice::freeWorkers);
 
 	}
 
@@ -220,16 +224,16 @@
 	 * A worker with what speaks for it.
 	 *
 	 * @param worker the worker
-	 * @param atStake what a suspect may take down there, in core-seconds; 0 for all other
-	 * units
-	 * @param doubt what speaks against it
-	 * @param cost the room that is left there
+	 * @param crashLoss what a suspect may take down there, in core-seconds; 0 for all
+	 * other units
+	 * @param failedJobs what speaks against it
+	 * @param fitCost the room that is left there
 	 */
-	private record WorkerChoice(Worker worker, double atStake, int doubt, double cost) {
+	private record WorkerChoice(Worker worker, double crashLoss, int failedJobs, double fitCost) {
 
-		private static final Comparator<WorkerChoice> ORDER = Comparator.comparingDouble(WorkerChoice::atStake)
-			.thenComparingInt(WorkerChoice::doubt)
-			.thenComparingDouble(WorkerChoice::cost);
+		private static final Comparator<WorkerChoice> ORDER = Comparator.comparingDouble(WorkerChoice::crashLoss)
+			.thenComparingInt(WorkerChoice::failedJobs)
+			.thenComparingDouble(WorkerChoice::fitCost);
 
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/Preemption.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PreemptionPlanner.java
@@ -20,14 +20,14 @@
  * <p>
  * It answers bursts of urgent jobs that find the fleet full of work that has time. Of all
  * racks and workers that could hold the unit, those are chosen where the least work is
- * thrown away, as {@link RunWork#lossIfStopped} tells, and no run is stopped whose room
- * is not needed in the end.
+ * thrown away, as {@link RunWorkSummary#lossIfStopped} tells, and no run is stopped whose
+ * room is not needed in the end.
  */
-final class Preemption {
+final class PreemptionPlanner {
 
 	private final Placer placer;
 
-	Preemption(Placer placer) {
+	PreemptionPlanner(Placer placer) {
 		this.placer = placer;
 	}
 
@@ -36,26 +36,26 @@
 	 * @param now the steady clock
 	 * @param unit the unit
 	 * @param workers those that may run it
-	 * @param room makes the room that is there for the unit; called for each try
-	 * @param mayGiveWay the runs that may be stopped
+	 * @param capacities makes the room that is there for the unit; called for each try
+	 * @param preemptible the runs that may be stopped
 	 * @return the cheapest plan, or empty where even that would not make room
 	 */
-	Optional<Plan> plan(long now, WorkUnit unit, List<Worker> workers, Supplier<Rooms> room,
-			Predicate<Run> mayGiveWay) {
-		if (this.placer.goesInOneRack(unit, workers)) {
-			Optional<Plan> inOneRack = cheapest(now, unit, this.placer.racks(unit, workers), room, mayGiveWay);
+	Optional<Plan> plan(long now, WorkUnit unit, List<Worker> workers, Supplier<TentativeCapacity> capacities,
+			Predicate<Run> preemptible) {
+		if (this.placer.requiresOneRack(unit, workers)) {
+			Optional<Plan> inOneRack = cheapest(now, unit, this.placer.racks(unit, workers), capacities, preemptible);
 			if (inOneRack.isPresent()) {
 				return inOneRack;
 			}
 		}
-		return planWithin(now, unit, workers, room, mayGiveWay);
+		return planWithin(now, unit, workers, capacities, preemptible);
 	}
 
-	private Optional<Plan> cheapest(long now, WorkUnit unit, List<List<Worker>> choices, Supplier<Rooms> room,
-			Predicate<Run> mayGiveWay) {
+	private Optional<Plan> cheapest(long now, WorkUnit unit, List<List<Worker>> choices,
+			Supplier<TentativeCapacity> capacities, Predicate<Run> preemptible) {
 		Plan best = null;
 		for (List<Worker> choice : choices) {
-			Plan plan = planWithin(now, unit, choice, room, mayGiveWay).orElse(null);
+			Plan plan = planWithin(now, unit, choice, capacities, preemptible).orElse(null);
 			if (plan != null && (best == null || plan.cost() < best.cost())) {
 				best = plan;
 			}
@@ -68,33 +68,33 @@
 	 * @param now the steady clock
 	 * @param unit the unit
 	 * @param workers those that it may take
-	 * @param room makes the room that is there for the unit; called for each try
-	 * @param mayGiveWay the runs that may be stopped
+	 * @param capacities makes the room that is there for the unit; called for each try
+	 * @param preemptible the runs that may be stopped
 	 * @return the plan, or empty where even that would not make room
 	 */
-	Optional<Plan> planWithin(long now, WorkUnit unit, List<Worker> workers, Supplier<Rooms> room,
-			Predicate<Run> mayGiveWay) {
-		Rooms cleared = room.get();
+	Optional<Plan> planWithin(long now, WorkUnit unit, List<Worker> workers, Supplier<TentativeCapacity> capacities,
+			Predicate<Run> preemptible) {
+		TentativeCapacity capacity = capacities.get();
 		Set<Run> candidates = new HashSet<>();
 		for (Worker worker : workers) {
 			for (Run run : worker.runs()) {
-				if (!run.stopping() && mayGiveWay.test(run)) {
+				if (!run.stopping() && preemptible.test(run)) {
 					candidates.add(run);
 				}
 				if (run.stopping() || candidates.contains(run)) {
-					cleared.give(worker, run.room());
+					capacity.release(worker, run.allocation());
 				}
 			}
 		}
-		if (!cleared.takesAll(workers, unit)) {
+		if (!capacity.canPlaceAll(workers, unit)) {
 			return Optional.empty();
 		}
-		GangLosses losses = this.placer.losses(now);
-		Search search = new Search(unit, room.get(), candidates, losses);
-		List<Worker> cheapFirst = search.cheapFirst(workers);
-		Map<TaskState, Worker> placement = Placer.fillInOrder(unit, cheapFirst, cleared).orElseThrow();
+		WorkLossEstimator lossEstimator = this.placer.lossEstimator(now);
+		VictimSearch search = new VictimSearch(unit, capacities.get(), candidates, lossEstimator);
+		List<Worker> cheapestFirst = search.sortByCost(workers);
+		Map<TaskState, Worker> placement = Placer.fillInOrder(unit, cheapestFirst, capacity).orElseThrow();
 		Set<Run> victims = search.victims(placement);
-		double cost = victims.stream().mapToDouble(losses::alone).sum();
+		double cost = victims.stream().mapToDouble(lossEstimator::lossOfRun).sum();
 		return Optional.of(new Plan(placement, victims, cost));
 	}
 
@@ -114,41 +114,43 @@
 	 * @param unit what is to be placed
 	 * @param free the room that is there for it
 	 * @param candidates the runs that may be stopped
-	 * @param losses what is lost with each
+	 * @param lossEstimator what is lost with each
 	 */
-	private record Search(WorkUnit unit, Rooms free, Set<Run> candidates, GangLosses losses) {
+	private record VictimSearch(WorkUnit unit, TentativeCapacity free, Set<Run> candidates,
+			WorkLossEstimator lossEstimator) {
 
-		List<Worker> cheapFirst(List<Worker> workers) {
+		List<Worker> sortByCost(List<Worker> workers) {
 			Map<Worker, Double> costs = new HashMap<>();
-			workers.forEach((worker) -> costs.put(worker, costOfATask(worker)));
+			workers.forEach((worker) -> costs.put(worker, costPerTask(worker)));
 			List<Worker> sorted = new ArrayList<>(workers);
 			sorted.sort(Comparator.comparingDouble(costs::get));
 			return sorted;
 		}
 
 		Set<Run> victims(Map<TaskState, Worker> placement) {
-			Map<Worker, Integer> tasks = new LinkedHashMap<>();
-			placement.values().forEach((worker) -> tasks.merge(worker, 1, Integer::sum));
+			Map<Worker, Integer> taskCounts = new LinkedHashMap<>();
+			placement.values().forEach((worker) -> taskCounts.merge(worker, 1, Integer::sum));
 			Set<Run> victims = new LinkedHashSet<>();
-			tasks.forEach((worker, here) -> victims
-				.addAll(withWholeGangs(victimsOn(worker, this.unit.room().times(here), victims))));
+			taskCounts.forEach((worker, count) -> victims
+				.addAll(withCompleteGangs(victimsOn(worker, this.unit.allocation().times(count), victims))));
 			return victims;
 		}
 
 		// What one task of the unit costs on a worker that is filled with as many as go
 		// there.
-		private double costOfATask(Worker worker) {
-			ResourceAmount most = this.free.free(worker);
+		private double costPerTask(Worker worker) {
+			ResourceAmount available = this.free.available(worker);
 			for (Run run : worker.runs()) {
-				most = (run.stopping() || this.candidates.contains(run)) ? most.plus(run.room()) : most;
+				available = (run.stopping() || this.candidates.contains(run)) ? available.plus(run.allocation())
+						: available;
 			}
-			long tasks = Math.min(this.unit.tasks().size(), most.holds(this.unit.room()));
+			long tasks = Math.min(this.unit.tasks().size(), available.holds(this.unit.allocation()));
 			if (tasks == 0) {
 				return Double.MAX_VALUE;
 			}
 			double cost = 0;
-			for (Run run : victimsOn(worker, this.unit.room().times(tasks), Set.of())) {
-				cost += this.losses.of(run);
+			for (Run run : victimsOn(worker, this.unit.allocation().times(tasks), Set.of())) {
+				cost += this.lossEstimator.lossWithGang(run);
 			}
 			return cost / tasks;
 		}
@@ -156,44 +158,44 @@
 		// Cheap runs first; then whatever turned out not to be needed is spared, the
 		// dearest first: a large run that gives way at last often makes room for all the
 		// small ones.
-		private List<Run> victimsOn(Worker worker, ResourceAmount wanted, Set<Run> given) {
-			ResourceAmount room = this.free.free(worker);
-			List<Run> cheapFirst = new ArrayList<>();
+		private List<Run> victimsOn(Worker worker, ResourceAmount required, Set<Run> alreadyChosen) {
+			ResourceAmount available = this.free.available(worker);
+			List<Run> cheapestFirst = new ArrayList<>();
 			for (Run run : worker.runs()) {
-				if (run.stopping() || given.contains(run)) {
-					room = room.plus(run.room());
+				if (run.stopping() || alreadyChosen.contains(run)) {
+					available = available.plus(run.allocation());
 				}
 				else if (this.candidates.contains(run)) {
-					cheapFirst.add(run);
+					cheapestFirst.add(run);
 				}
 			}
-			cheapFirst.sort(Comparator.comparingDouble(this.losses::of));
+			cheapestFirst.sort(Comparator.comparingDouble(this.lossEstimator::lossWithGang));
 			List<Run> chosen = new ArrayList<>();
-			for (Run run : cheapFirst) {
-				if (wanted.fitsIn(room)) {
+			for (Run run : cheapestFirst) {
+				if (required.fitsIn(available)) {
 					break;
 				}
 				chosen.add(run);
-				room = room.plus(run.room());
+				available = available.plus(run.allocation());
 			}
 			for (int i = chosen.size() - 1; i >= 0; i--) {
-				ResourceAmount without = room.minus(chosen.get(i).room());
-				if (wanted.fitsIn(without)) {
-					room = without;
+				ResourceAmount without = available.minus(chosen.get(i).allocation());
+				if (required.fitsIn(without)) {
+					available = without;
 					chosen.remove(i);
 				}
 			}
 			return chosen;
 		}
 
-		private static Set<Run> withWholeGangs(List<Run> victims) {
-			Set<Run> whole = new LinkedHashSet<>(victims);
+		private static Set<Run> withCompleteGangs(List<Run> victims) {
+			Set<Run> complete = new LinkedHashSet<>(victims);
 			for (Run victim : victims) {
 				if (victim.task().step().spec().gang()) {
-					victim.task().step().tasks().forEach((task) -> whole.addAll(task.openRuns()));
+					victim.task().step().tasks().forEach((task) -> complete.addAll(task.openRuns()));
 				}
 			}
-			return whole;
+			return complete;
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/Reservation.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Reservation.java
@@ -16,9 +16,9 @@
  *
  * @param unit the unit
  * @param placement where it will go
- * @param inMillis in how many milliseconds it will fit there
+ * @param delayMillis in how many milliseconds it will fit there
  */
-record Reservation(WorkUnit unit, Map<TaskState, Worker> placement, long inMillis) {
+record Reservation(WorkUnit unit, Map<TaskState, Worker> placement, long delayMillis) {
 
 	/**
 	 * Finds the place where a unit fits earliest.
@@ -31,7 +31,7 @@
 		Reservation best = null;
 		for (List<Worker> choice : choices) {
 			Reservation found = within(now, unit, choice).orElse(null);
-			if (found != null && (best == null || found.inMillis < best.inMillis)) {
+			if (found != null && (best == null || found.delayMillis < best.delayMillis)) {
 				best = found;
 			}
 		}
@@ -41,48 +41,49 @@
 	private static Optional<Reservation> within(long now, WorkUnit unit, List<Worker> workers) {
 		List<RunEnd> byEnd = new ArrayList<>();
 		for (Worker worker : workers) {
-			worker.runs().forEach((run) -> byEnd.add(new RunEnd(run, run.leftMillis(now))));
+			worker.runs().forEach((run) -> byEnd.add(new RunEnd(run, run.remainingMillis(now))));
 		}
-		byEnd.sort(Comparator.comparingLong(RunEnd::inMillis));
-		int ended = fewestEnds(unit, workers, byEnd);
-		if (ended > byEnd.size()) {
+		byEnd.sort(Comparator.comparingLong(RunEnd::delayMillis));
+		int endedCount = minEndedRuns(unit, workers, byEnd);
+		if (endedCount > byEnd.size()) {
 			return Optional.empty();
 		}
-		Map<TaskState, Worker> placement = Placer.fillInOrder(unit, workers, roomAfter(byEnd.subList(0, ended)))
+		Map<TaskState, Worker> placement = Placer
+			.fillInOrder(unit, workers, capacityAfter(byEnd.subList(0, endedCount)))
 			.orElseThrow();
-		return Optional.of(new Reservation(unit, placement, byEnd.get(ended - 1).inMillis()));
+		return Optional.of(new Reservation(unit, placement, byEnd.get(endedCount - 1).delayMillis()));
 	}
 
 	// The more has ended the more room there is, so the first end after which the unit
 	// fits can be found by halving.
-	private static int fewestEnds(WorkUnit unit, List<Worker> workers, List<RunEnd> byEnd) {
-		int least = 1;
-		int beyond = byEnd.size() + 1;
-		while (least < beyond) {
-			int middle = (least + beyond) >>> 1;
-			if (roomAfter(byEnd.subList(0, middle)).takesAll(workers, unit)) {
-				beyond = middle;
+	private static int minEndedRuns(WorkUnit unit, List<Worker> workers, List<RunEnd> byEnd) {
+		int low = 1;
+		int high = byEnd.size() + 1;
+		while (low < high) {
+			int middle = (low + high) >>> 1;
+			if (capacityAfter(byEnd.subList(0, middle)).canPlaceAll(workers, unit)) {
+				high = middle;
 			}
 			else {
-				least = middle + 1;
+				low = middle + 1;
 			}
 		}
-		return least;
+		return low;
 	}
 
-	private static Rooms roomAfter(List<RunEnd> ended) {
-		Rooms rooms = Rooms.free();
-		ended.forEach((end) -> rooms.give(end.run().worker(), end.run().room()));
-		return rooms;
+	private static TentativeCapacity capacityAfter(List<RunEnd> endedRuns) {
+		TentativeCapacity capacity = TentativeCapacity.available();
+		endedRuns.forEach((end) -> capacity.release(end.run().worker(), end.run().allocation()));
+		return capacity;
 	}
 
 	/**
 	 * A run and when it will probably be over.
 	 *
 	 * @param run the run
-	 * @param inMillis in how many milliseconds
+	 * @param delayMillis in how many milliseconds
 	 */
-	private record RunEnd(Run run, long inMillis) {
+	private record RunEnd(Run run, long delayMillis) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/Run.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Run.java
@@ -12,17 +12,17 @@
  */
 final class Run {
 
-	private static final int WHOLE = 100;
+	private static final int MAX_PERCENT = 100;
 
 	/** Progress from which a speed is taken. */
-	private static final int LEAST_PERCENT = 5;
+	private static final int MIN_PROGRESS_PERCENT = 5;
 
 	/** What a run takes of which nothing is known, in milliseconds. */
-	private static final long UNKNOWN_MILLIS = 10_000;
+	private static final long DEFAULT_RUN_TIME_MILLIS = 10_000;
 
-	private static final long NOT_YET = Long.MIN_VALUE;
+	private static final long NOT_SET = Long.MIN_VALUE;
 
-	private static final double MILLIS = 1_000.0;
+	private static final double MILLIS_PER_SECOND = 1_000.0;
 
 	private final TaskState task;
 
@@ -33,71 +33,71 @@
 	/**
 	 * The life of its worker in which it may have begun; its worker may be a later one.
 	 */
-	private WorkerLife begunIn;
+	private WorkerLife startLife;
 
 	private final long epoch;
 
 	/** Whether it goes on from a checkpoint. */
-	private final boolean resumed;
+	private final boolean resumedFromCheckpoint;
 
 	/** The capacity by which its worker was chosen. */
-	private final ResourceAmount chosenBy;
+	private final ResourceAmount placementCapacity;
 
 	private State state;
 
 	/** Whether its beginning was seen in this term. */
-	private boolean beginningSeen;
+	private boolean startObserved;
 
 	private boolean stopping;
 
-	private long lastOrderMillis;
+	private long lastCommandMillis;
 
 	private long startedMillis;
 
-	private long seenMillis;
+	private long lastReportMillis;
 
-	private long progressedMillis;
+	private long lastProgressMillis;
 
-	private int percent;
+	private int progressPercent;
 
-	private int firstPercent;
+	private int firstProgressPercent;
 
 	/** Since when it works: a member of a gang begins once all are there. */
-	private long atWorkMillis = NOT_YET;
+	private long workStartedMillis = NOT_SET;
 
 	/** When its last checkpoint was heard of. */
-	private long savedAtMillis = NOT_YET;
+	private long lastCheckpointMillis = NOT_SET;
 
-	private String saved;
+	private String lastCheckpoint;
 
-	private Optional<WorkOutcome> loss = Optional.empty();
+	private Optional<WorkOutcome> lossCause = Optional.empty();
 
-	private Optional<WorkerLife> lostWith = Optional.empty();
+	private Optional<WorkerLife> lostWorkerLife = Optional.empty();
 
 	Run(TaskState task, int number, Worker worker, long epoch, State state) {
 		this.task = task;
 		this.number = number;
 		this.worker = worker;
-		this.begunIn = worker.life();
+		this.startLife = worker.life();
 		this.epoch = epoch;
 		this.state = state;
-		this.resumed = !task.checkpoint().isEmpty();
-		this.saved = task.checkpoint();
-		this.chosenBy = worker.capacity();
+		this.resumedFromCheckpoint = !task.checkpoint().isEmpty();
+		this.lastCheckpoint = task.checkpoint();
+		this.placementCapacity = worker.capacity();
 	}
 
 	/**
 	 * Takes over a run that an earlier term ordered.
 	 * @param task the task
-	 * @param kept what is kept of the run
+	 * @param persisted what is kept of the run
 	 * @param worker the latest life of its worker that is known
 	 * @return the run
 	 */
-	static Run inherited(TaskState task, OpenRun kept, Worker worker) {
-		Run run = new Run(task, kept.number(), worker, kept.epoch(), State.INHERITED);
-		run.begunIn = kept.life();
-		if (!kept.life().equals(worker.life())) {
-			run.workerEnded();
+	static Run inherited(TaskState task, OpenRun persisted, Worker worker) {
+		Run run = new Run(task, persisted.number(), worker, persisted.epoch(), State.INHERITED);
+		run.startLife = persisted.life();
+		if (!persisted.life().equals(worker.life())) {
+			run.markWorkerEnded();
 		}
 		return run;
 	}
@@ -122,9 +122,9 @@
 	 * Its worker ended. A run that was ordered in this term and not heard of since was
 	 * hardly begun: its worker was gone already.
 	 */
-	void workerEnded() {
+	void markWorkerEnded() {
 		if (this.state == State.RUNNING || this.state == State.INHERITED) {
-			this.lostWith = Optional.of(this.begunIn);
+			this.lostWorkerLife = Optional.of(this.startLife);
 		}
 	}
 
@@ -132,8 +132,8 @@
 	 * The life with which it may have ended.
 	 * @return the life, or empty where it ended otherwise
 	 */
-	Optional<WorkerLife> lostWith() {
-		return this.lostWith;
+	Optional<WorkerLife> lostWorkerLife() {
+		return this.lostWorkerLife;
 	}
 
 	/**
@@ -142,9 +142,9 @@
 	 * @param later that life
 	 */
 	void moveTo(Worker later) {
-		workerEnded();
-		if (this.lostWith.isEmpty()) {
-			this.begunIn = later.life();
+		markWorkerEnded();
+		if (this.lostWorkerLife.isEmpty()) {
+			this.startLife = later.life();
 		}
 		this.worker.remove(this);
 		this.worker = later;
@@ -152,12 +152,12 @@
 		later.add(this);
 	}
 
-	ResourceAmount room() {
+	ResourceAmount allocation() {
 		return this.task.step().spec().room();
 	}
 
-	ResourceAmount chosenBy() {
-		return this.chosenBy;
+	ResourceAmount placementCapacity() {
+		return this.placementCapacity;
 	}
 
 	State state() {
@@ -170,82 +170,82 @@
 
 	/**
 	 * From now on the run is to end; a second call changes nothing.
-	 * @param why for what its work is lost
+	 * @param cause for what its work is lost
 	 */
-	void stop(WorkOutcome why) {
+	void markStopping(WorkOutcome cause) {
 		this.stopping = true;
-		losesFor(why);
+		recordLossCause(cause);
 	}
 
 	/**
 	 * Takes note of why its work is lost; the first reason counts.
-	 * @param why the reason
+	 * @param cause the reason
 	 */
-	void losesFor(WorkOutcome why) {
-		if (this.loss.isEmpty()) {
-			this.loss = Optional.of(why);
+	void recordLossCause(WorkOutcome cause) {
+		if (this.lossCause.isEmpty()) {
+			this.lossCause = Optional.of(cause);
 		}
 	}
 
-	Optional<WorkOutcome> loss() {
-		return this.loss;
+	Optional<WorkOutcome> lossCause() {
+		return this.lossCause;
 	}
 
-	long lastOrderMillis() {
-		return this.lastOrderMillis;
+	long lastCommandMillis() {
+		return this.lastCommandMillis;
 	}
 
-	void ordered(long now) {
-		this.lastOrderMillis = now;
-		if (this.state == State.KEEPING) {
-			this.state = State.ORDERED;
+	void startSent(long now) {
+		this.lastCommandMillis = now;
+		if (this.state == State.PERSISTING) {
+			this.state = State.START_SENT;
 		}
 	}
 
-	void stopOrdered(long now) {
-		this.lastOrderMillis = now;
+	void stopSent(long now) {
+		this.lastCommandMillis = now;
 	}
 
-	void seenRunning(long now, int progress) {
+	void recordProgress(long now, int progress) {
 		if (this.state != State.RUNNING) {
-			this.beginningSeen = this.state == State.ORDERED;
+			this.startObserved = this.state == State.START_SENT;
 			this.state = State.RUNNING;
 			this.startedMillis = now;
-			this.progressedMillis = now;
-			this.firstPercent = progress;
+			this.lastProgressMillis = now;
+			this.firstProgressPercent = progress;
 		}
-		if (progress != this.percent) {
-			this.progressedMillis = now;
+		if (progress != this.progressPercent) {
+			this.lastProgressMillis = now;
 		}
-		this.percent = progress;
-		this.seenMillis = now;
+		this.progressPercent = progress;
+		this.lastReportMillis = now;
 	}
 
 	/**
 	 * All that has to be there for it to work is there.
 	 * @param now the steady clock
 	 */
-	void atWork(long now) {
-		if (this.atWorkMillis == NOT_YET) {
-			this.atWorkMillis = now;
+	void markWorking(long now) {
+		if (this.workStartedMillis == NOT_SET) {
+			this.workStartedMillis = now;
 		}
 	}
 
 	/**
 	 * Takes note of its checkpoint.
 	 * @param checkpoint the checkpoint, or empty
-	 * @param leastMillis work that a checkpoint holds at least: the first one that is
-	 * heard of may hold any amount
+	 * @param minMillis work that a checkpoint holds at least: the first one that is heard
+	 * of may hold any amount
 	 */
-	void seenSaved(String checkpoint, long leastMillis) {
-		if (checkpoint.isEmpty() || checkpoint.equals(this.saved)) {
+	void recordCheckpoint(String checkpoint, long minMillis) {
+		if (checkpoint.isEmpty() || checkpoint.equals(this.lastCheckpoint)) {
 			return;
 		}
-		long since = Math.max(this.startedMillis, this.savedAtMillis);
-		long millis = Math.max(leastMillis, this.seenMillis - since);
-		this.saved = checkpoint;
-		this.savedAtMillis = this.seenMillis;
-		this.task.step().job().saved(room().coreEquivalents() * millis / MILLIS);
+		long since = Math.max(this.startedMillis, this.lastCheckpointMillis);
+		long millis = Math.max(minMillis, this.lastReportMillis - since);
+		this.lastCheckpoint = checkpoint;
+		this.lastCheckpointMillis = this.lastReportMillis;
+		this.task.step().job().addCheckpointedWork(allocation().coreEquivalents() * millis / MILLIS_PER_SECOND);
 	}
 
 	/**
@@ -257,7 +257,7 @@
 		if (!running()) {
 			return 0;
 		}
-		return ((this.atWorkMillis == NOT_YET) ? now : this.atWorkMillis) - this.startedMillis;
+		return ((this.workStartedMillis == NOT_SET) ? now : this.workStartedMillis) - this.startedMillis;
 	}
 
 	/**
@@ -267,11 +267,12 @@
 	 * progress tells
 	 */
 	long workedMillis(long now) {
-		if (this.atWorkMillis == NOT_YET) {
+		if (this.workStartedMillis == NOT_SET) {
 			return 0;
 		}
-		long told = this.beginningSeen ? 0 : this.task.step().expectedMillis() * this.percent / WHOLE;
-		return Math.max(now - this.atWorkMillis, told);
+		long reportedMillis = this.startObserved ? 0
+				: this.task.step().expectedMillis() * this.progressPercent / MAX_PERCENT;
+		return Math.max(now - this.workStartedMillis, reportedMillis);
 	}
 
 	/**
@@ -280,30 +281,30 @@
 	 * @param now the steady clock
 	 * @return milliseconds
 	 */
-	long savedMillis(String checkpoint, long now) {
-		if (!checkpoint.isEmpty() && !checkpoint.equals(this.saved)) {
+	long checkpointedMillis(String checkpoint, long now) {
+		if (!checkpoint.isEmpty() && !checkpoint.equals(this.lastCheckpoint)) {
 			return workedMillis(now);
 		}
-		if (this.savedAtMillis == NOT_YET || this.atWorkMillis == NOT_YET) {
+		if (this.lastCheckpointMillis == NOT_SET || this.workStartedMillis == NOT_SET) {
 			return 0;
 		}
-		return Math.max(0, workedMillis(now) - (now - this.savedAtMillis));
+		return Math.max(0, workedMillis(now) - (now - this.lastCheckpointMillis));
 	}
 
 	/**
 	 * For how long it was seen without any progress.
 	 * @return milliseconds between the reports of the same percentage
 	 */
-	long stillMillis() {
-		return this.seenMillis - this.progressedMillis;
+	long stalledMillis() {
+		return this.lastReportMillis - this.lastProgressMillis;
 	}
 
 	/**
 	 * Whether its own work is done, though it has not ended.
 	 * @return whether it is
 	 */
-	boolean atItsEnd() {
-		return this.percent >= WHOLE;
+	boolean isProgressComplete() {
+		return this.progressPercent >= MAX_PERCENT;
 	}
 
 	/**
@@ -313,21 +314,22 @@
 	 * @param now the steady clock
 	 * @return milliseconds
 	 */
-	long leftMillis(long now) {
-		int made = this.percent - this.firstPercent;
-		if (made >= LEAST_PERCENT) {
-			return (now - this.startedMillis) * (WHOLE - this.percent) / made;
+	long remainingMillis(long now) {
+		int progress = this.progressPercent - this.firstProgressPercent;
+		if (progress >= MIN_PROGRESS_PERCENT) {
+			return (now - this.startedMillis) * (MAX_PERCENT - this.progressPercent) / progress;
 		}
 		long expected = this.task.step().expectedMillis();
-		return ((expected > 0) ? expected : UNKNOWN_MILLIS) * (WHOLE - this.percent) / WHOLE;
+		return ((expected > 0) ? expected : DEFAULT_RUN_TIME_MILLIS) * (MAX_PERCENT - this.progressPercent)
+				/ MAX_PERCENT;
 	}
 
 	/**
 	 * Whether the time since it was first seen is that of the whole task.
 	 * @return whether it is
 	 */
-	boolean seenWhole() {
-		return this.beginningSeen && !this.resumed;
+	boolean isObservedFromStart() {
+		return this.startObserved && !this.resumedFromCheckpoint;
 	}
 
 	boolean running() {
@@ -338,12 +340,12 @@
 		return this.startedMillis;
 	}
 
-	int percent() {
-		return this.percent;
+	int progressPercent() {
+		return this.progressPercent;
 	}
 
 	OpenRun toRecord() {
-		return new OpenRun(this.number, this.worker.target(), this.begunIn, this.epoch);
+		return new OpenRun(this.number, this.worker.target(), this.startLife, this.epoch);
 	}
 
 	/**
@@ -352,10 +354,10 @@
 	enum State {
 
 		/** Its order waits until the run is kept. */
-		KEEPING,
+		PERSISTING,
 
 		/** Its order was sent and nothing was heard of it yet. */
-		ORDERED,
+		START_SENT,
 
 		/** An earlier term ordered it; whether it was begun is not known. */
 		INHERITED,
--- a/core/src/main/java/org/almondmount/workflow/impl/RunLedger.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
@@ -18,14 +18,14 @@
  * Opens and closes runs, and draws what follows for their tasks and jobs. Owned by the
  * scheduler.
  */
-final class RunLedger {
+final class RunLifecycle {
 
 	/** Pause before a task that failed is tried again, in milliseconds. */
-	private static final long FAILURE_PAUSE_MILLIS = 100;
+	private static final long RETRY_DELAY_MILLIS = 100;
 
 	private final SchedulerState state;
 
-	RunLedger(SchedulerState state) {
+	RunLifecycle(SchedulerState state) {
 		this.state = state;
 	}
 
@@ -38,19 +38,19 @@
 		int number = unit.gang() ? unit.step().lastRun() + 1 : unit.tasks().get(0).lastRun() + 1;
 		List<Run> runs = new ArrayList<>();
 		placement.forEach((task, worker) -> {
-			Run run = new Run(task, number, worker, this.state.epoch(), Run.State.KEEPING);
-			task.numbered(number);
+			Run run = new Run(task, number, worker, this.state.epoch(), Run.State.PERSISTING);
+			task.recordRunNumber(number);
 			task.openRuns().add(run);
 			worker.add(run);
-			watch(run);
+			beginProbationIfSuspect(run);
 			runs.add(run);
 		});
 		JobState job = unit.step().job();
 		if (job.phase() == JobPhase.QUEUED) {
 			job.phase(JobPhase.RUNNING);
 		}
-		this.state.writeAhead().changed(job);
-		this.state.writeAhead().afterKept(() -> order(unit.step(), runs));
+		this.state.writeAheadBuffer().markChanged(job);
+		this.state.writeAheadBuffer().afterPersisted(() -> startOrClose(unit.step(), runs));
 		this.state.explain("run-chosen", "job", job.id(), "occurrence", unit.step().occurrence(), "step",
 				unit.step().number(), "run", number, "tasks", runs.size(), "workers",
 				placement.values().stream().map(Worker::target).distinct().toList());
@@ -60,8 +60,8 @@
 	 * Puts a run on probation if its task is a suspect.
 	 * @param run the run
 	 */
-	void watch(Run run) {
-		if (this.state.has(SchedulerFeature.SET_SUSPECTS_APART) && run.task().crashes().suspect()) {
+	void beginProbationIfSuspect(Run run) {
+		if (this.state.has(SchedulerFeature.SET_SUSPECTS_APART) && run.task().crashes().isSuspect()) {
 			run.worker().beginProbation(run);
 		}
 	}
@@ -69,35 +69,35 @@
 	/**
 	 * Closes a run that is surely over.
 	 * @param run the run
-	 * @param how how it ended
+	 * @param ending how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 */
-	void close(Run run, RunEnding how, String checkpoint) {
+	void close(Run run, RunEnding ending, String checkpoint) {
 		TaskState task = run.task();
 		StepState step = task.step();
 		JobState job = step.job();
-		RunWork work = RunWork.of(run, how, checkpoint, this.state.steadyMillis());
+		RunWorkSummary work = RunWorkSummary.of(run, ending, checkpoint, this.state.steadyMillis());
 		run.worker().remove(run);
 		task.openRuns().remove(run);
 		task.checkpoint(checkpoint);
-		this.state.writeAhead().changed(job);
-		this.state.explain("run-ended", "job", job.id(), "task", task.id(), "run", run.number(), "how", how, "worker",
-				run.worker().target(), "life", run.worker().life(), "cause", work.cause(), "keptCoreSeconds",
+		this.state.writeAheadBuffer().markChanged(job);
+		this.state.explain("run-ended", "job", job.id(), "task", task.id(), "run", run.number(), "how", ending,
+				"worker", run.worker().target(), "life", run.worker().life(), "cause", work.cause(), "keptCoreSeconds",
 				Math.round(work.keptCoreSeconds()), "lostCoreSeconds", Math.round(work.lostCoreSeconds()),
 				"waitedCoreSeconds", Math.round(work.waitedCoreSeconds()));
 		account(work);
-		if (how.done()) {
-			run.worker().health().succeeded();
-			learn(run);
+		if (ending.done()) {
+			run.worker().health().recordSuccess();
+			recordRunTime(run);
 			taskDone(step, task);
 		}
-		else if (how.countsAsAttempt()) {
+		else if (ending.countsAsAttempt()) {
 			taskFailed(run);
 		}
-		if (!how.done() && how != RunEnding.LOST) {
-			countStart(run);
+		if (!ending.done() && ending != RunEnding.LOST) {
+			countRunAfterCrashes(run);
 		}
-		failIfUsedUp(step.failuresCountOn(task));
+		failIfExhausted(step.failureCountOwner(task));
 		if (step.spec().gang() && !step.done()) {
 			stopAll(step, work.cause());
 		}
@@ -106,26 +106,26 @@
 	/**
 	 * Closes a run that is surely over, though its worker did not list its end.
 	 * @param run the run
-	 * @param why for what its work is lost, unless a reason is known already
+	 * @param cause for what its work is lost, unless a reason is known already
 	 */
-	void lose(Run run, WorkOutcome why) {
-		run.losesFor(why);
-		run.lostWith().ifPresent((life) -> crashed(run.task(), Crash.unseen(run.number(), life)));
+	void closeLost(Run run, WorkOutcome cause) {
+		run.recordLossCause(cause);
+		run.lostWorkerLife().ifPresent((life) -> recordCrash(run.task(), Crash.unseen(run.number(), life)));
 		close(run, RunEnding.LOST, "");
 	}
 
 	/**
 	 * Orders a run to end.
 	 * @param run the run
-	 * @param why for what its work is lost
+	 * @param cause for what its work is lost
 	 */
-	void stop(Run run, WorkOutcome why) {
+	void stop(Run run, WorkOutcome cause) {
 		if (run.stopping()) {
 			return;
 		}
-		run.stop(why);
-		if (run.state() != Run.State.KEEPING) {
-			orderStop(run);
+		run.markStopping(cause);
+		if (run.state() != Run.State.PERSISTING) {
+			sendStop(run);
 		}
 	}
 
@@ -141,12 +141,12 @@
 			return;
 		}
 		if (job.over()) {
-			WorkOutcome why = (job.phase() == JobPhase.FAILED) ? WorkOutcome.JOB_FAILED : WorkOutcome.CANCELLED;
-			job.openRuns().forEach((run) -> stop(run, why));
+			WorkOutcome cause = (job.phase() == JobPhase.FAILED) ? WorkOutcome.JOB_FAILED : WorkOutcome.CANCELLED;
+			job.openRuns().forEach((run) -> stop(run, cause));
 			return;
 		}
 		for (StepState step : job.steps()) {
-			if (step.spec().gang() && !step.done() && !step.gangIsWhole()) {
+			if (step.spec().gang() && !step.done() && !step.isGangComplete()) {
 				stopAll(step, WorkOutcome.GANG_BROKEN);
 			}
 		}
@@ -156,8 +156,8 @@
 	 * Sends the order to end a run, for the first time or again.
 	 * @param run the run
 	 */
-	void orderStop(Run run) {
-		run.stopOrdered(this.state.steadyMillis());
+	void sendStop(Run run) {
+		run.stopSent(this.state.steadyMillis());
 		this.state.emit(
 				new WorkflowCommand.StopRun(run.worker().target(), run.worker().life(), run.task().id(), run.number()));
 	}
@@ -166,33 +166,33 @@
 	 * Sends the order to begin a run, for the first time or again.
 	 * @param run the run
 	 */
-	void orderStart(Run run) {
-		run.ordered(this.state.steadyMillis());
+	void sendStart(Run run) {
+		run.startSent(this.state.steadyMillis());
 		StepState step = run.task().step();
 		String checkpoint = step.spec().gang() ? step.gangCheckpoint() : run.task().checkpoint();
 		this.state.emit(new WorkflowCommand.StartRun(run.worker().target(), run.worker().life(), run.task().id(),
-				run.number(), step.job().workflow().program(), checkpoint, run.chosenBy()));
+				run.number(), step.job().workflow().program(), checkpoint, run.placementCapacity()));
 	}
 
 	// Between choice and order the run was being kept, and the worker's zone may have
 	// been taken out, or the worker have said that it leaves or has less room. Nothing
 	// was sent yet, so the runs can be closed as never begun. A gang is ordered whole or
 	// not at all.
-	private void order(StepState step, List<Run> runs) {
-		boolean wanted = !step.job().over();
+	private void startOrClose(StepState step, List<Run> runs) {
+		boolean startable = !step.job().over();
 		for (Run run : runs) {
-			wanted &= !run.stopping() && run.task().openRuns().contains(run) && this.state.mayStartOn(run.worker())
-					&& run.chosenBy().fitsIn(run.worker().capacity());
+			startable &= !run.stopping() && run.task().openRuns().contains(run) && this.state.canStartOn(run.worker())
+					&& run.placementCapacity().fitsIn(run.worker().capacity());
 		}
 		for (Run run : runs) {
 			if (!run.task().openRuns().contains(run)) {
 				continue;
 			}
-			if (wanted) {
-				orderStart(run);
+			if (startable) {
+				sendStart(run);
 			}
 			else {
-				lose(run, WorkOutcome.UNSETTLED);
+				closeLost(run, WorkOutcome.UNSETTLED);
 			}
 		}
 	}
@@ -202,29 +202,30 @@
 	 * @param task the task
 	 * @param crash the crash
 	 */
-	void crashed(TaskState task, Crash crash) {
+	void recordCrash(TaskState task, Crash crash) {
 		JobState job = task.step().job();
 		if (job.over() || task.done() || crash.run() > task.lastRun()
 				|| !task.crashes().add(this.state.steadyMillis(), crash)) {
 			return;
 		}
-		this.state.writeAhead().changed(job);
+		this.state.writeAheadBuffer().markChanged(job);
 		this.state.explain("task-crashed-worker", "job", job.id(), "task", task.id(), "run", crash.run(), "life",
 				crash.life(), "seen", crash.seen(), "ageMillis", crash.ageMillis(), "blamePercent",
-				crash.blamePercent(), "crashes", task.crashes().crashes().size(), "suspect", task.crashes().suspect());
-		giveUpIfCrashing(task);
+				crash.blamePercent(), "crashes", task.crashes().crashes().size(), "suspect",
+				task.crashes().isSuspect());
+		giveUpIfCrashLimitReached(task);
 	}
 
-	private void countStart(Run run) {
+	private void countRunAfterCrashes(Run run) {
 		TaskState task = run.task();
-		if (task.crashes().addStart(this.state.steadyMillis(), run.number(), run.worker().life())) {
-			giveUpIfCrashing(task);
+		if (task.crashes().countRun(this.state.steadyMillis(), run.number(), run.worker().life())) {
+			giveUpIfCrashLimitReached(task);
 		}
 	}
 
-	private void giveUpIfCrashing(TaskState task) {
-		if (!task.step().job().over() && task.crashes().givesUp()) {
-			giveUp(task, JobFailure.WORKERS_CRASHED, "lives",
+	private void giveUpIfCrashLimitReached(TaskState task) {
+		if (!task.step().job().over() && task.crashes().shouldGiveUp()) {
+			failJob(task, JobFailure.WORKERS_CRASHED, "lives",
 					task.crashes().crashes().stream().map(Crash::life).toList());
 		}
 	}
@@ -232,29 +233,29 @@
 	/**
 	 * Fails the jobs whose attempts are used up by what their queues say now.
 	 */
-	void failUsedUp() {
+	void failExhaustedJobs() {
 		for (JobState job : this.state.jobs().values()) {
 			for (StepState step : job.steps()) {
-				step.tasks().forEach(this::failIfUsedUp);
+				step.tasks().forEach(this::failIfExhausted);
 			}
 		}
 	}
 
 	// A run that is open was begun in time and may still succeed.
-	private void failIfUsedUp(TaskState task) {
+	private void failIfExhausted(TaskState task) {
 		if (task.failures() > 0 && task.idle() && !task.done()) {
-			failIfUsedUp(task.step().job(), task, task.failures());
+			failIfExhausted(task.step().job(), task, task.failures());
 		}
 	}
 
-	private void learn(Run run) {
+	private void recordRunTime(Run run) {
 		StepState step = run.task().step();
-		if (!run.seenWhole() || step.spec().lasting() || !this.state.has(SchedulerFeature.LEARN_RUN_TIMES)) {
+		if (!run.isObservedFromStart() || step.spec().lasting() || !this.state.has(SchedulerFeature.LEARN_RUN_TIMES)) {
 			return;
 		}
 		long millis = this.state.steadyMillis() - run.startedMillis();
-		step.ran(millis);
-		this.state.runTimes().learn(step.job().workflow().queue(), step.spec().estimateMillis(), millis);
+		step.recordRunTime(millis);
+		this.state.runTimeEstimator().addSample(step.job().workflow().queue(), step.spec().estimateMillis(), millis);
 	}
 
 	private void taskDone(StepState step, TaskState task) {
@@ -262,7 +263,7 @@
 		if (step.spec().lasting()) {
 			return;
 		}
-		step.taskDone(task);
+		step.markTaskDone(task);
 		if (!job.over() && job.allDone()) {
 			job.phase(JobPhase.COMPLETED);
 			this.state.explain("job-completed", "job", job.id());
@@ -273,45 +274,45 @@
 		StepState step = run.task().step();
 		JobState job = step.job();
 		if (this.state.has(SchedulerFeature.REST_SUSPICIOUS)
-				&& run.worker().health().failed(this.state.steadyMillis(), job.id())) {
+				&& run.worker().health().recordFailure(this.state.steadyMillis(), job.id())) {
 			this.state.explain("worker-paused", "worker", run.worker().target(), "why", "several jobs failed there");
 		}
 		if (step.spec().lasting()) {
 			return;
 		}
 		int failures = step.countFailure(run.task(), run.number());
-		step.notBefore(this.state.steadyMillis() + FAILURE_PAUSE_MILLIS);
-		failIfUsedUp(job, run.task(), failures);
+		step.notBefore(this.state.steadyMillis() + RETRY_DELAY_MILLIS);
+		failIfExhausted(job, run.task(), failures);
 	}
 
 	// A new holder may hear of a failure before it has read the queue that says how many
 	// attempts there are. The job is judged once the queue is known.
-	private void failIfUsedUp(JobState job, TaskState task, int failures) {
+	private void failIfExhausted(JobState job, TaskState task, int failures) {
 		Optional<JobQueue> queue = this.state.queueOf(job);
 		if (job.over() || queue.isEmpty() || failures < queue.get().maxAttempts()) {
 			return;
 		}
-		giveUp(task, JobFailure.ATTEMPTS_USED_UP, "attempts", failures);
+		failJob(task, JobFailure.ATTEMPTS_USED_UP, "attempts", failures);
 	}
 
-	private void giveUp(TaskState task, JobFailure why, String evidence, Object found) {
+	private void failJob(TaskState task, JobFailure failure, String evidenceKey, Object evidence) {
 		JobState job = task.step().job();
 		job.phase(JobPhase.FAILED);
-		this.state.writeAhead().changed(job);
-		this.state.explain("job-failed", "job", job.id(), "task", task.id(), "why", why, evidence, found);
-		this.state.emit(new WorkflowCommand.CountFailure(why));
+		this.state.writeAheadBuffer().markChanged(job);
+		this.state.explain("job-failed", "job", job.id(), "task", task.id(), "why", failure, evidenceKey, evidence);
+		this.state.emit(new WorkflowCommand.CountFailure(failure));
 		job.openRuns().forEach((open) -> stop(open, WorkOutcome.JOB_FAILED));
 	}
 
 	// The worker ends the other members by itself, but one whose start is still on its
 	// way would wait for them until the gang's time runs out.
-	private void stopAll(StepState step, WorkOutcome why) {
+	private void stopAll(StepState step, WorkOutcome cause) {
 		for (TaskState task : step.tasks()) {
-			List.copyOf(task.openRuns()).forEach((run) -> stop(run, why));
+			List.copyOf(task.openRuns()).forEach((run) -> stop(run, cause));
 		}
 	}
 
-	private void account(RunWork work) {
+	private void account(RunWorkSummary work) {
 		account(WorkOutcome.KEPT, work.keptCoreSeconds());
 		account(work.cause(), work.lostCoreSeconds());
 		account(WorkOutcome.GANG_WAITED, work.waitedCoreSeconds());
--- a/core/src/main/java/org/almondmount/workflow/impl/RunTimes.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunTimeEstimator.java
@@ -12,56 +12,57 @@
  * time is fitted to the guess for each queue, on a logarithmic scale, as a straight line
  * that begins as "the guess is right" and follows what is seen.
  */
-final class RunTimes {
+final class RunTimeEstimator {
 
 	/**
 	 * How many tasks it takes until what was seen counts as much as the beginning: about
 	 * as many as run in the first seconds of a term.
 	 */
-	private static final double BELIEF_IN_GUESSES = 4;
+	private static final double PRIOR_WEIGHT = 4;
 
 	/** Spread of guesses that is taken for granted at the beginning: a factor of e. */
-	private static final double USUAL_SPREAD = 1;
+	private static final double PRIOR_SPREAD = 1;
 
 	/** An earlier task counts this much of one that has just ended. */
-	private static final double FADING = 0.98;
+	private static final double DECAY_FACTOR = 0.98;
 
-	private final Map<String, Line> lines = new HashMap<>();
+	private final Map<String, WeightedLinearFit> fitsByQueue = new HashMap<>();
 
 	/**
 	 * Takes note of a task that ran from its beginning to its end.
 	 * @param queue its queue
-	 * @param guessMillis the guess that came with it
+	 * @param estimateMillis the guess that came with it
 	 * @param millis how long it ran
 	 */
-	void learn(String queue, long guessMillis, long millis) {
-		if (guessMillis > 0 && millis > 0) {
-			this.lines.computeIfAbsent(queue, (name) -> new Line()).add(Math.log(guessMillis), Math.log(millis));
+	void addSample(String queue, long estimateMillis, long millis) {
+		if (estimateMillis > 0 && millis > 0) {
+			this.fitsByQueue.computeIfAbsent(queue, (name) -> new WeightedLinearFit())
+				.add(Math.log(estimateMillis), Math.log(millis));
 		}
 	}
 
 	/**
 	 * How long a task will probably run.
 	 * @param queue its queue
-	 * @param guessMillis the guess that came with it, 0 for none
+	 * @param estimateMillis the guess that came with it, 0 for none
 	 * @return milliseconds, 0 where nothing is known
 	 */
-	long expected(String queue, long guessMillis) {
-		Line line = this.lines.get(queue);
-		if (line == null || guessMillis <= 0) {
-			return guessMillis;
+	long expected(String queue, long estimateMillis) {
+		WeightedLinearFit fit = this.fitsByQueue.get(queue);
+		if (fit == null || estimateMillis <= 0) {
+			return estimateMillis;
 		}
-		return Math.round(Math.exp(line.at(Math.log(guessMillis))));
+		return Math.round(Math.exp(fit.predict(Math.log(estimateMillis))));
 	}
 
 	void clear() {
-		this.lines.clear();
+		this.fitsByQueue.clear();
 	}
 
 	/**
 	 * A line through weighted points, with the diagonal as its prior.
 	 */
-	private static final class Line {
+	private static final class WeightedLinearFit {
 
 		private double weight;
 
@@ -74,23 +75,23 @@
 		private double sumXy;
 
 		void add(double x, double y) {
-			this.weight = this.weight * FADING + 1;
-			this.sumX = this.sumX * FADING + x;
-			this.sumY = this.sumY * FADING + y;
-			this.sumXx = this.sumXx * FADING + x * x;
-			this.sumXy = this.sumXy * FADING + x * y;
+			this.weight = this.weight * DECAY_FACTOR + 1;
+			this.sumX = this.sumX * DECAY_FACTOR + x;
+			this.sumY = this.sumY * DECAY_FACTOR + y;
+			this.sumXx = this.sumXx * DECAY_FACTOR + x * x;
+			this.sumXy = this.sumXy * DECAY_FACTOR + x * y;
 		}
 
 		// The prior is a set of points on the diagonal around the centre of the guesses,
 		// so
 		// that a queue with alike guesses does not tilt the line.
-		double at(double x) {
-			double centre = this.sumX / this.weight;
-			double meanY = (this.sumY + BELIEF_IN_GUESSES * centre) / (this.weight + BELIEF_IN_GUESSES);
-			double prior = BELIEF_IN_GUESSES * USUAL_SPREAD * USUAL_SPREAD;
-			double spread = this.sumXx - this.weight * centre * centre + prior;
-			double together = this.sumXy - centre * this.sumY + prior;
-			return meanY + together / spread * (x - centre);
+		double predict(double x) {
+			double meanX = this.sumX / this.weight;
+			double meanY = (this.sumY + PRIOR_WEIGHT * meanX) / (this.weight + PRIOR_WEIGHT);
+			double prior = PRIOR_WEIGHT * PRIOR_SPREAD * PRIOR_SPREAD;
+			double scatterX = this.sumXx - this.weight * meanX * meanX + prior;
+			double scatterXy = this.sumXy - meanX * this.sumY + prior;
+			return meanY + scatterXy / scatterX * (x - meanX);
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/RunWork.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunWorkSummary.java
@@ -16,33 +16,34 @@
  * @param waitedCoreSeconds room held by a member of a gang that was not yet whole
  * @param cause why work was lost; {@link WorkOutcome#KEPT} where it was not
  */
-record RunWork(double keptCoreSeconds, double lostCoreSeconds, double waitedCoreSeconds, WorkOutcome cause) {
+record RunWorkSummary(double keptCoreSeconds, double lostCoreSeconds, double waitedCoreSeconds, WorkOutcome cause) {
 
-	private static final double MILLIS = 1_000.0;
+	private static final double MILLIS_PER_SECOND = 1_000.0;
 
 	/** Two orders and their way, in milliseconds; room is held meanwhile. */
-	private static final long ORDER_MILLIS = 200;
+	private static final long STOP_START_MILLIS = 200;
 
 	/**
 	 * Accounts for a run that is over.
 	 * @param run the run, still open
-	 * @param how how it ended
+	 * @param ending how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 * @param now the steady clock
 	 * @return its work
 	 */
-	static RunWork of(Run run, RunEnding how, String checkpoint, long now) {
+	static RunWorkSummary of(Run run, RunEnding ending, String checkpoint, long now) {
 		Step step = run.task().step().spec();
 		double cores = step.room().coreEquivalents();
-		double waited = cores * run.waitedMillis(now) / MILLIS;
-		double worked = cores * run.workedMillis(now) / MILLIS;
-		if (how.done() || run.task().step().done() || step.lasting()) {
-			return new RunWork(worked, 0, waited, WorkOutcome.KEPT);
+		double waited = cores * run.waitedMillis(now) / MILLIS_PER_SECOND;
+		double worked = cores * run.workedMillis(now) / MILLIS_PER_SECOND;
+		if (ending.done() || run.task().step().done() || step.lasting()) {
+			return new RunWorkSummary(worked, 0, waited, WorkOutcome.KEPT);
 		}
-		WorkOutcome cause = run.loss().orElseGet(() -> causeOf(run, how, now));
-		boolean jobIsOver = cause == WorkOutcome.CANCELLED || cause == WorkOutcome.JOB_FAILED;
-		double saved = (step.checkpoints() && !jobIsOver) ? cores * run.savedMillis(checkpoint, now) / MILLIS : 0;
-		return new RunWork(saved, worked - saved, waited, cause);
+		WorkOutcome cause = run.lossCause().orElseGet(() -> causeOf(run, ending, now));
+		boolean workIsUseless = cause == WorkOutcome.CANCELLED || cause == WorkOutcome.JOB_FAILED;
+		double checkpointed = (step.checkpoints() && !workIsUseless)
+				? cores * run.checkpointedMillis(checkpoint, now) / MILLIS_PER_SECOND : 0;
+		return new RunWorkSummary(checkpointed, worked - checkpointed, waited, cause);
 	}
 
 	/**
@@ -56,29 +57,29 @@
 	 */
 	static double lossIfStopped(Run run, long now, long restoreMillis) {
 		Step step = run.task().step().spec();
-		double millis = step.checkpoints() ? restoreMillis : run.workedMillis(now) + ORDER_MILLIS;
-		return step.room().coreEquivalents() * (run.running() ? millis : ORDER_MILLIS) / MILLIS;
+		double millis = step.checkpoints() ? restoreMillis : run.workedMillis(now) + STOP_START_MILLIS;
+		return step.room().coreEquivalents() * (run.running() ? millis : STOP_START_MILLIS) / MILLIS_PER_SECOND;
 	}
 
-	private static WorkOutcome causeOf(Run run, RunEnding how, long now) {
-		return switch (how) {
+	private static WorkOutcome causeOf(Run run, RunEnding ending, long now) {
+		return switch (ending) {
 			case FAILED -> WorkOutcome.FAILED_TRY;
 			case LAPSED -> WorkOutcome.LEASE_LAPSED;
 			case ALONE -> WorkOutcome.GANG_WAITED;
-			case BROKEN -> causeInGang(run, now);
+			case BROKEN -> causeOfBrokenGang(run, now);
 			case DONE, STOPPED, LOST -> WorkOutcome.UNSETTLED;
 		};
 	}
 
 	// The members that live are often heard before the one that ended: its worker is
 	// leaving, or silent since.
-	private static WorkOutcome causeInGang(Run run, long now) {
+	private static WorkOutcome causeOfBrokenGang(Run run, long now) {
 		for (TaskState task : run.task().step().tasks()) {
 			for (Run member : task.openRuns()) {
 				if (member.worker().draining()) {
 					return WorkOutcome.WORKER_LEFT;
 				}
-				if (member != run && now - member.worker().lastHeardMillis() > Worker.SILENT_MILLIS) {
+				if (member != run && now - member.worker().lastContactMillis() > Worker.SILENCE_LIMIT_MILLIS) {
 					return WorkOutcome.WORKER_LOST;
 				}
 			}
--- a/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
@@ -26,9 +26,9 @@
 
 	private final Map<String, Worker> workers = new LinkedHashMap<>();
 
-	private final WriteAhead writeAhead = new WriteAhead();
+	private final WriteAheadBuffer writeAheadBuffer = new WriteAheadBuffer();
 
-	private final RunTimes runTimes = new RunTimes();
+	private final RunTimeEstimator runTimeEstimator = new RunTimeEstimator();
 
 	private List<WorkflowCommand> commands = new ArrayList<>();
 
@@ -70,12 +70,12 @@
 		return this.workers.computeIfAbsent(target, (name) -> new Worker(name, life, steadyMillis()));
 	}
 
-	RunTimes runTimes() {
-		return this.runTimes;
+	RunTimeEstimator runTimeEstimator() {
+		return this.runTimeEstimator;
 	}
 
-	WriteAhead writeAhead() {
-		return this.writeAhead;
+	WriteAheadBuffer writeAheadBuffer() {
+		return this.writeAheadBuffer;
 	}
 
 	FleetConfiguration configuration() {
@@ -126,8 +126,8 @@
 		this.epoch = 0;
 		this.jobs.clear();
 		this.workers.clear();
-		this.writeAhead.clear();
-		this.runTimes.clear();
+		this.writeAheadBuffer.clear();
+		this.runTimeEstimator.clear();
 	}
 
 	void now(Instant instant) {
@@ -166,10 +166,10 @@
 	 * @return whether it is known, heard of lately, in a zone that is in service and not
 	 * leaving
 	 */
-	boolean mayStartOn(Worker worker) {
+	boolean canStartOn(Worker worker) {
 		return worker.description().isPresent() && !worker.lapsed() && !worker.draining()
 				&& worker.epoch() >= this.epoch
-				&& steadyMillis() - worker.lastHeardMillis() <= this.policy.usableSilenceMillis()
+				&& steadyMillis() - worker.lastContactMillis() <= this.policy.usableSilenceMillis()
 				&& !this.zonesOut.contains(worker.zone()) && worker.health().usable(steadyMillis());
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/StepState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/StepState.java
@@ -21,11 +21,11 @@
 
 	private long expectedMillis;
 
-	private long tailMillis;
+	private long criticalPathMillis;
 
-	private long ranMillis;
+	private long totalRunMillis;
 
-	private int ran;
+	private int observedRunCount;
 
 	private boolean done;
 
@@ -73,7 +73,7 @@
 	}
 
 	// The end of any member of a gang stands for all of them.
-	void taskDone(TaskState task) {
+	void markTaskDone(TaskState task) {
 		task.markDone();
 		if (this.spec.gang()) {
 			this.tasks.forEach(TaskState::markDone);
@@ -94,13 +94,13 @@
 	 */
 	int countFailure(TaskState task, int run) {
 		if (!this.spec.gang()) {
-			task.failed();
+			task.countFailure();
 			return task.failures();
 		}
-		TaskState first = failuresCountOn(task);
+		TaskState first = failureCountOwner(task);
 		if (this.failedRun != run) {
 			this.failedRun = run;
-			first.failed();
+			first.countFailure();
 		}
 		return first.failures();
 	}
@@ -110,7 +110,7 @@
 	 * @param task the task
 	 * @return the task itself, or the first one of its gang
 	 */
-	TaskState failuresCountOn(TaskState task) {
+	TaskState failureCountOwner(TaskState task) {
 		return this.spec.gang() ? this.tasks.get(0) : task;
 	}
 
@@ -138,7 +138,7 @@
 	 * Whether each member of a gang has its part in the gang's last run.
 	 * @return whether none has ended
 	 */
-	boolean gangIsWhole() {
+	boolean isGangComplete() {
 		int run = lastRun();
 		return this.tasks.stream().allMatch((task) -> task.openRun(run).isPresent());
 	}
@@ -148,13 +148,13 @@
 	 * @return the checkpoint, or empty
 	 */
 	String gangCheckpoint() {
-		String best = "";
+		String latest = "";
 		for (TaskState task : this.tasks) {
-			if (task.checkpoint().compareTo(best) > 0) {
-				best = task.checkpoint();
+			if (task.checkpoint().compareTo(latest) > 0) {
+				latest = task.checkpoint();
 			}
 		}
-		return best;
+		return latest;
 	}
 
 	/**
@@ -170,35 +170,35 @@
 	 * step.
 	 * @return milliseconds
 	 */
-	long tailMillis() {
-		return this.tailMillis;
+	long criticalPathMillis() {
+		return this.criticalPathMillis;
 	}
 
 	/**
 	 * Takes note of a task that ran from its beginning to its end.
 	 * @param millis how long it ran
 	 */
-	void ran(long millis) {
-		this.ranMillis += millis;
-		this.ran++;
+	void recordRunTime(long millis) {
+		this.totalRunMillis += millis;
+		this.observedRunCount++;
 	}
 
 	// Tasks of one step are alike, so one that has ended tells more than any guess.
-	void expect(RunTimes times, long followersMillis) {
-		this.expectedMillis = (this.ran > 0) ? this.ranMillis / this.ran
-				: times.expected(this.job.workflow().queue(), this.spec.estimateMillis());
-		this.tailMillis = this.expectedMillis + followersMillis;
+	void updateEstimate(RunTimeEstimator estimator, long followerPathMillis) {
+		this.expectedMillis = (this.observedRunCount > 0) ? this.totalRunMillis / this.observedRunCount
+				: estimator.expected(this.job.workflow().queue(), this.spec.estimateMillis());
+		this.criticalPathMillis = this.expectedMillis + followerPathMillis;
 	}
 
 	/**
 	 * How many of its tasks are not done.
 	 * @return a count
 	 */
-	long undone() {
+	long unfinishedTaskCount() {
 		return this.tasks.stream().filter((task) -> !task.done()).count();
 	}
 
-	boolean anyIdle() {
+	boolean hasStartableTask() {
 		return this.tasks.stream().anyMatch((task) -> task.idle() && !task.done());
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/TaskState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/TaskState.java
@@ -66,7 +66,7 @@
 		return this.lastRun;
 	}
 
-	void numbered(int run) {
+	void recordRunNumber(int run) {
 		this.lastRun = Math.max(this.lastRun, run);
 	}
 
@@ -74,7 +74,7 @@
 		return this.failures;
 	}
 
-	void failed() {
+	void countFailure() {
 		this.failures++;
 	}
 
@@ -90,9 +90,9 @@
 		return this.checkpoint;
 	}
 
-	void checkpoint(String saved) {
-		if (!saved.isEmpty()) {
-			this.checkpoint = saved;
+	void checkpoint(String next) {
+		if (!next.isEmpty()) {
+			this.checkpoint = next;
 		}
 	}
 
@@ -104,7 +104,7 @@
 		return this.crashes;
 	}
 
-	boolean hasHistory() {
+	boolean hasRun() {
 		return this.lastRun > 0;
 	}
 
@@ -114,14 +114,14 @@
 				this.crashes.crashes());
 	}
 
-	void restore(TaskRecord kept) {
-		this.lastRun = kept.lastRun();
-		this.failures = kept.failures();
-		this.done = kept.done();
-		this.checkpoint = kept.checkpoint();
-		this.crashes.restore(kept.crashes());
+	void restore(TaskRecord persisted) {
+		this.lastRun = persisted.lastRun();
+		this.failures = persisted.failures();
+		this.done = persisted.done();
+		this.checkpoint = persisted.checkpoint();
+		this.crashes.restore(persisted.crashes());
 		if (this.index == 0) {
-			this.step.restoreFailedRun(kept.failedRun());
+			this.step.restoreFailedRun(persisted.failedRun());
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/Timeliness.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Timeliness.java
@@ -23,11 +23,11 @@
 
 	private final boolean behindAll;
 
-	private final boolean earliest;
+	private final boolean earliestFirst;
 
-	Timeliness(boolean behindAll, boolean earliest) {
+	Timeliness(boolean behindAll, boolean earliestFirst) {
 		this.behindAll = behindAll;
-		this.earliest = earliest;
+		this.earliestFirst = earliestFirst;
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	 * @return whether they do
 	 */
 	boolean earliestFirst() {
-		return this.earliest;
+		return this.earliestFirst;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/GangLosses.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkLossEstimator.java
@@ -7,20 +7,20 @@
  * What is lost with a run, all members of its gang included. Mutable; made for one
  * search, in which each run is asked for many times.
  */
-final class GangLosses {
+final class WorkLossEstimator {
 
 	private final long now;
 
 	private final long restoreMillis;
 
-	private final Map<StepState, Double> ofGangs = new HashMap<>();
+	private final Map<StepState, Double> lossByGang = new HashMap<>();
 
 	/**
 	 * Reckons with a moment.
 	 * @param now the steady clock
 	 * @param restoreMillis how long a task takes to go on from a checkpoint
 	 */
-	GangLosses(long now, long restoreMillis) {
+	WorkLossEstimator(long now, long restoreMillis) {
 		this.now = now;
 		this.restoreMillis = restoreMillis;
 	}
@@ -30,12 +30,12 @@
 	 * @param run the run
 	 * @return core-seconds
 	 */
-	double of(Run run) {
+	double lossWithGang(Run run) {
 		StepState step = run.task().step();
 		if (!step.spec().gang()) {
-			return alone(run);
+			return lossOfRun(run);
 		}
-		return this.ofGangs.computeIfAbsent(step, this::ofGang);
+		return this.lossByGang.computeIfAbsent(step, this::lossOfGang);
 	}
 
 	/**
@@ -43,8 +43,8 @@
 	 * @param run the run
 	 * @return core-seconds
 	 */
-	double alone(Run run) {
-		return RunWork.lossIfStopped(run, this.now, this.restoreMillis);
+	double lossOfRun(Run run) {
+		return RunWorkSummary.lossIfStopped(run, this.now, this.restoreMillis);
 	}
 
 	/**
@@ -53,19 +53,19 @@
 	 * @param step the step
 	 * @return core-seconds
 	 */
-	double besides(Worker worker, StepState step) {
+	double lossOfOtherSteps(Worker worker, StepState step) {
 		double loss = 0;
 		for (Run run : worker.runs()) {
-			loss += (run.task().step() != step) ? of(run) : 0;
+			loss += (run.task().step() != step) ? lossWithGang(run) : 0;
 		}
 		return loss;
 	}
 
-	private double ofGang(StepState step) {
+	private double lossOfGang(StepState step) {
 		double loss = 0;
 		for (TaskState task : step.tasks()) {
 			for (Run member : task.openRuns()) {
-				loss += alone(member);
+				loss += lossOfRun(member);
 			}
 		}
 		return loss;
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkUnit.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkUnit.java
@@ -13,18 +13,19 @@
  * @param step its step
  * @param tasks its tasks
  * @param workers those that may run it
- * @param outlook how its step stands against the job's objective
+ * @param deadline how its step stands against the job's objective
  * @param guaranteed whether it belongs to its customer's guarantee
- * @param caution what company it may have
+ * @param isolation what company it may have
  */
-record WorkUnit(JobQueue queue, StepState step, List<TaskState> tasks, List<Worker> workers, Outlook outlook,
-		boolean guaranteed, Caution caution) {
+record WorkUnit(JobQueue queue, StepState step, List<TaskState> tasks, List<Worker> workers, DeadlineEstimate deadline,
+		boolean guaranteed, IsolationLevel isolation) {
 
 	WorkUnit withTasks(List<TaskState> others) {
-		return new WorkUnit(this.queue, this.step, others, this.workers, this.outlook, this.guaranteed, this.caution);
+		return new WorkUnit(this.queue, this.step, others, this.workers, this.deadline, this.guaranteed,
+				this.isolation);
 	}
 
-	TaskState first() {
+	TaskState firstTask() {
 		return this.tasks.get(0);
 	}
 
@@ -32,7 +33,7 @@
 		return this.step.spec().gang();
 	}
 
-	ResourceAmount room() {
+	ResourceAmount allocation() {
 		return this.step.spec().room();
 	}
 
@@ -40,7 +41,7 @@
 	 * Whether it runs fast only within one rack.
 	 * @return whether it does
 	 */
-	boolean wantsOneRack() {
+	boolean prefersOneRack() {
 		return gang() && this.tasks.size() > 1 && this.step.spec().placement().sameRack();
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/Worker.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Worker.java
@@ -18,7 +18,7 @@
 	 * A worker that was not heard of for so long is probably gone, in milliseconds: two
 	 * of its heartbeats are missing.
 	 */
-	static final long SILENT_MILLIS = 2_000;
+	static final long SILENCE_LIMIT_MILLIS = 2_000;
 
 	private final String target;
 
@@ -42,23 +42,23 @@
 	/** Kept beside the two that it follows from: placing asks for it at each look. */
 	private ResourceAmount free = ResourceAmount.NONE;
 
-	private long lastHeardMillis;
+	private long lastContactMillis;
 
-	private long leavesMillis;
+	private long availableUntilMillis;
 
-	private long seenEnd;
+	private long lastSeenEnd;
 
 	/** The last end that is kept, so that the worker may forget it. */
-	private long keptEnd;
+	private long lastPersistedEnd;
 
 	private long epoch;
 
 	private boolean lapsed;
 
-	Worker(String target, WorkerLife life, long heardMillis) {
+	Worker(String target, WorkerLife life, long contactMillis) {
 		this.target = target;
 		this.life = life;
-		this.lastHeardMillis = heardMillis;
+		this.lastContactMillis = contactMillis;
 	}
 
 	String target() {
@@ -73,13 +73,13 @@
 		return this.description;
 	}
 
-	void describe(long now, WorkerDescription said) {
-		this.description = Optional.of(said);
-		this.rack = said.rack();
-		this.capacity = said.capacity();
+	void describe(long now, WorkerDescription reported) {
+		this.description = Optional.of(reported);
+		this.rack = reported.rack();
+		this.capacity = reported.capacity();
 		this.free = this.capacity.minus(this.used);
-		if (said.draining()) {
-			this.leavesMillis = Math.max(this.leavesMillis, now + said.remainingMillis());
+		if (reported.draining()) {
+			this.availableUntilMillis = Math.max(this.availableUntilMillis, now + reported.remainingMillis());
 		}
 	}
 
@@ -87,8 +87,8 @@
 	 * Until when a worker that drains is surely there.
 	 * @return a time of the steady clock
 	 */
-	long leavesMillis() {
-		return this.leavesMillis;
+	long availableUntilMillis() {
+		return this.availableUntilMillis;
 	}
 
 	String rack() {
@@ -117,13 +117,13 @@
 
 	void add(Run run) {
 		if (this.runs.add(run)) {
-			uses(this.used.plus(run.room()));
+			updateUsed(this.used.plus(run.allocation()));
 		}
 	}
 
 	void remove(Run run) {
 		if (this.runs.remove(run)) {
-			uses(this.used.minus(run.room()));
+			updateUsed(this.used.minus(run.allocation()));
 			this.probation.remove(run);
 		}
 	}
@@ -149,15 +149,15 @@
 	 * @param step the step
 	 * @return whether a suspect is on probation here
 	 */
-	boolean endangers(StepState step) {
+	boolean endangersOtherSteps(StepState step) {
 		return !this.probation.isEmpty() && this.probation.stream().anyMatch((run) -> run.task().step() != step);
 	}
 
-	boolean runsOtherThan(StepState step) {
+	boolean runsOtherStep(StepState step) {
 		return this.runs.stream().anyMatch((run) -> run.task().step() != step);
 	}
 
-	private void uses(ResourceAmount next) {
+	private void updateUsed(ResourceAmount next) {
 		this.used = next;
 		this.free = this.capacity.minus(next);
 	}
@@ -166,12 +166,12 @@
 		return this.health;
 	}
 
-	long lastHeardMillis() {
-		return this.lastHeardMillis;
+	long lastContactMillis() {
+		return this.lastContactMillis;
 	}
 
-	void heard(long now) {
-		this.lastHeardMillis = now;
+	void recordContact(long now) {
+		this.lastContactMillis = now;
 		this.lapsed = false;
 	}
 
@@ -183,28 +183,28 @@
 		this.lapsed = true;
 	}
 
-	long seenEnd() {
-		return this.seenEnd;
+	long lastSeenEnd() {
+		return this.lastSeenEnd;
 	}
 
-	void seenEnd(long number) {
-		this.seenEnd = Math.max(this.seenEnd, number);
+	void lastSeenEnd(long number) {
+		this.lastSeenEnd = Math.max(this.lastSeenEnd, number);
 	}
 
-	long keptEnd() {
-		return this.keptEnd;
+	long lastPersistedEnd() {
+		return this.lastPersistedEnd;
 	}
 
-	void keptEnd(long number) {
-		this.keptEnd = Math.max(this.keptEnd, number);
+	void lastPersistedEnd(long number) {
+		this.lastPersistedEnd = Math.max(this.lastPersistedEnd, number);
 	}
 
 	long epoch() {
 		return this.epoch;
 	}
 
-	void obeys(long highest) {
-		this.epoch = Math.max(this.epoch, highest);
+	void raiseEpoch(long reported) {
+		this.epoch = Math.max(this.epoch, reported);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkerHealth.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkerHealth.java
@@ -14,14 +14,14 @@
 final class WorkerHealth {
 
 	/** Different jobs that have to fail in a row; one job alone may be bad itself. */
-	private static final int SUSPICIOUS_JOBS = 2;
+	private static final int MIN_FAILED_JOBS = 2;
 
 	/**
 	 * First pause of a suspicious worker, in milliseconds; it doubles up to eightfold.
 	 */
 	private static final long FIRST_PAUSE_MILLIS = 2_000;
 
-	private static final int MOST_DOUBLINGS = 2;
+	private static final int MAX_DOUBLINGS = 2;
 
 	private final Set<String> failedJobs = new HashSet<>();
 
@@ -29,7 +29,7 @@
 
 	private int pauses;
 
-	void succeeded() {
+	void recordSuccess() {
 		this.failedJobs.clear();
 		this.pauses = 0;
 	}
@@ -40,18 +40,18 @@
 	 * @param job the job whose task failed
 	 * @return whether the worker is paused from now on
 	 */
-	boolean failed(long now, String job) {
+	boolean recordFailure(long now, String job) {
 		this.failedJobs.add(job);
-		if (this.failedJobs.size() < SUSPICIOUS_JOBS) {
+		if (this.failedJobs.size() < MIN_FAILED_JOBS) {
 			return false;
 		}
-		this.pausedUntilMillis = now + (FIRST_PAUSE_MILLIS << Math.min(this.pauses, MOST_DOUBLINGS));
+		this.pausedUntilMillis = now + (FIRST_PAUSE_MILLIS << Math.min(this.pauses, MAX_DOUBLINGS));
 		this.pauses++;
 		return true;
 	}
 
 	// For reasons that are not the worker's fault, such as a refusal for want of room.
-	void restUntil(long millis) {
+	void pauseUntil(long millis) {
 		this.pausedUntilMillis = Math.max(this.pausedUntilMillis, millis);
 	}
 
@@ -63,7 +63,7 @@
 	 * How much speaks against the worker.
 	 * @return 0 for nothing, more for more
 	 */
-	int doubt() {
+	int failedJobCount() {
 		return this.failedJobs.size();
 	}
 
--- a/core/src/main/java/org/almondmount/workflow/impl/WriteAhead.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WriteAheadBuffer.java
@@ -22,10 +22,10 @@
  * before it is kept. One transaction is outstanding at a time; what changes meanwhile
  * goes into the next one.
  */
-final class WriteAhead {
+final class WriteAheadBuffer {
 
 	/** Records in one transaction; the store takes a hundred entries in all. */
-	static final int MOST_RECORDS = 90;
+	static final int MAX_RECORDS = 90;
 
 	private final Set<JobState> dirty = new LinkedHashSet<>();
 
@@ -37,7 +37,7 @@
 
 	private boolean outstanding;
 
-	void changed(JobState job) {
+	void markChanged(JobState job) {
 		this.dirty.add(job);
 	}
 
@@ -45,7 +45,7 @@
 	 * Has something done once all that has changed so far is kept.
 	 * @param effect what to do
 	 */
-	void afterKept(Runnable effect) {
+	void afterPersisted(Runnable effect) {
 		this.effects.add(effect);
 	}
 
@@ -58,14 +58,14 @@
 
 	/**
 	 * Takes note that a transaction took effect.
-	 * @param kept its sequence
+	 * @param persisted its sequence
 	 */
-	void kept(long kept) {
-		if (!this.outstanding || kept != this.sequence) {
+	void onPersisted(long persisted) {
+		if (!this.outstanding || persisted != this.sequence) {
 			return;
 		}
 		this.outstanding = false;
-		this.batches.remove().takeEffect();
+		this.batches.remove().complete();
 	}
 
 	/**
@@ -77,7 +77,7 @@
 			return;
 		}
 		if (this.batches.isEmpty()) {
-			cut();
+			createBatches();
 		}
 		while (!this.batches.isEmpty()) {
 			Batch next = this.batches.peek();
@@ -86,20 +86,20 @@
 				commands.add(new WorkflowCommand.Keep(++this.sequence, next.records()));
 				return;
 			}
-			this.batches.remove().takeEffect();
+			this.batches.remove().complete();
 			if (this.batches.isEmpty()) {
-				cut();
+				createBatches();
 			}
 		}
 	}
 
-	private void cut() {
+	private void createBatches() {
 		if (this.dirty.isEmpty() && this.effects.isEmpty()) {
 			return;
 		}
 		Batch batch = new Batch();
 		for (JobState job : this.dirty) {
-			if (batch.records().size() >= MOST_RECORDS) {
+			if (batch.records().size() >= MAX_RECORDS) {
 				this.batches.add(batch);
 				batch = new Batch();
 			}
@@ -123,11 +123,11 @@
 		void add(JobState job) {
 			this.records.add(job.toRecord());
 			this.phases.put(job, job.phase());
-			job.beingKept();
+			job.clearUnpersistedWork();
 		}
 
-		void takeEffect() {
-			this.phases.forEach(JobState::keptPhase);
+		void complete() {
+			this.phases.forEach(JobState::persistedPhase);
 			this.effects.forEach(Runnable::run);
 		}
 
--- a/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
@@ -15,21 +15,21 @@
 	// Guards against a crash that counts again with each report of it, after the task
 	// that lasts has shown that it is not to blame.
 	@Test
-	void aReportOfAForgottenCrashCountsNothing() {
-		assertThat(this.crashes.add(0, seen(1))).isTrue();
+	void repeatedReportOfAClearedCrashIsIgnored() {
+		assertThat(this.crashes.add(0, observedCrash(1))).isTrue();
 		this.crashes.clear();
-		assertThat(this.crashes.add(1_000, seen(1))).isFalse();
+		assertThat(this.crashes.add(1_000, observedCrash(1))).isFalse();
 		assertThat(this.crashes.isEmpty()).isTrue();
 	}
 
 	@Test
-	void aCrashOfALaterRunCountsAgain() {
-		this.crashes.add(0, seen(1));
+	void crashOfALaterRunIsCountedAfterClear() {
+		this.crashes.add(0, observedCrash(1));
 		this.crashes.clear();
-		assertThat(this.crashes.add(1_000, seen(2))).isTrue();
+		assertThat(this.crashes.add(1_000, observedCrash(2))).isTrue();
 	}
 
-	private static Crash seen(int run) {
+	private static Crash observedCrash(int run) {
 		return new Crash(run, LIFE, true, 500, 100);
 	}
 
--- a/core/src/test/java/org/almondmount/workflow/impl/RoomsTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
@@ -24,7 +24,7 @@
  * A full fleet with a long backlog: whether a unit fits is asked of nearly all that
  * waits, at each round. The quick answers have to be those of placing task by task.
  */
-class RoomsTests {
+class TentativeCapacityTests {
 
 	private static final JobQueue QUEUE = new JobQueue("q", "h", "/", "pool", 1, 2, 3, 1_000, false, false);
 
@@ -32,7 +32,7 @@
 
 	private static final long NOW = 50_000;
 
-	private int runs;
+	private int jobCount;
 
 	static LongStream seeds() {
 		return LongStream.range(0, 200);
@@ -40,38 +40,38 @@
 
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void workersTakeAUnitWhereItsTasksCanBePlacedOneByOne(long seed) {
+	void unitFitsExactlyWhenItsTasksCanBePlacedOneByOne(long seed) {
 		Random random = new Random(seed);
 		List<Worker> workers = workers(random);
 		for (int i = 0; i < 20; i++) {
 			WorkUnit unit = unit(random, workers);
-			boolean fits = Placer.fillInOrder(unit, workers, Rooms.free()).isPresent();
-			assertThat(Rooms.free().takesAll(workers, unit)).isEqualTo(fits);
+			boolean fits = Placer.fillInOrder(unit, workers, TentativeCapacity.available()).isPresent();
+			assertThat(TentativeCapacity.available().canPlaceAll(workers, unit)).isEqualTo(fits);
 		}
 	}
 
 	@ParameterizedTest
 	@MethodSource("seeds")
-	void aReservationIsTheFirstEndAfterWhichTheUnitFits(long seed) {
+	void reservationWaitsForTheFirstRunEndAfterWhichTheUnitFits(long seed) {
 		Random random = new Random(seed);
 		List<Worker> workers = workers(random);
 		for (int i = 0; i < 20; i++) {
 			WorkUnit unit = unit(random, workers);
 			Optional<Reservation> found = Reservation.earliest(NOW, unit, List.of(workers));
-			assertThat(found.map(Reservation::inMillis)).isEqualTo(firstEndByTryingEach(unit, workers));
+			assertThat(found.map(Reservation::delayMillis)).isEqualTo(firstFittingEndByLinearSearch(unit, workers));
 		}
 	}
 
-	private static Optional<Long> firstEndByTryingEach(WorkUnit unit, List<Worker> workers) {
+	private static Optional<Long> firstFittingEndByLinearSearch(WorkUnit unit, List<Worker> workers) {
 		List<Run> byEnd = new ArrayList<>();
 		workers.forEach((worker) -> byEnd.addAll(worker.runs()));
-		byEnd.sort(Comparator.comparingLong((run) -> run.leftMillis(NOW)));
+		byEnd.sort(Comparator.comparingLong((run) -> run.remainingMillis(NOW)));
 		for (int ended = 1; ended <= byEnd.size(); ended++) {
-			Rooms rooms = Rooms.free();
-			byEnd.subList(0, ended).forEach((run) -> rooms.give(run.worker(), run.room()));
-			Optional<Map<TaskState, Worker>> placement = Placer.fillInOrder(unit, workers, rooms);
+			TentativeCapacity capacity = TentativeCapacity.available();
+			byEnd.subList(0, ended).forEach((run) -> capacity.release(run.worker(), run.allocation()));
+			Optional<Map<TaskState, Worker>> placement = Placer.fillInOrder(unit, workers, capacity);
 			if (placement.isPresent()) {
-				return Optional.of(byEnd.get(ended - 1).leftMillis(NOW));
+				return Optional.of(byEnd.get(ended - 1).remainingMillis(NOW));
 			}
 		}
 		return Optional.empty();
@@ -92,9 +92,9 @@
 	private void fill(Random random, Worker worker) {
 		for (int i = 0; i < random.nextInt(6); i++) {
 			TaskState task = step(random, 1).tasks().get(0);
-			Run run = new Run(task, 1, worker, 1, Run.State.ORDERED);
-			if (run.room().fitsIn(worker.free())) {
-				run.seenRunning(NOW, random.nextInt(100));
+			Run run = new Run(task, 1, worker, 1, Run.State.START_SENT);
+			if (run.allocation().fitsIn(worker.free())) {
+				run.recordProgress(NOW, random.nextInt(100));
 				worker.add(run);
 			}
 		}
@@ -102,8 +102,8 @@
 
 	private WorkUnit unit(Random random, List<Worker> workers) {
 		StepState step = step(random, 1 + random.nextInt(8));
-		Outlook outlook = new Outlook(Timeliness.IN_TIME, NOW, 1);
-		return new WorkUnit(QUEUE, step, step.tasks(), workers, outlook, false, Caution.NONE);
+		DeadlineEstimate deadline = new DeadlineEstimate(Timeliness.IN_TIME, NOW, 1);
+		return new WorkUnit(QUEUE, step, step.tasks(), workers, deadline, false, IsolationLevel.NONE);
 	}
 
 	private StepState step(Random random, int count) {
@@ -115,7 +115,7 @@
 				random.nextInt(5));
 		Step spec = new Step(count, demand, 1_000L * (1 + random.nextInt(20)), List.of(), false, true, placement, false,
 				terms);
-		Workflow job = new Workflow("job" + ++this.runs, "q", "c", "p", List.of(spec), Workflow.Schedule.ONCE, 0);
+		Workflow job = new Workflow("job" + ++this.jobCount, "q", "c", "p", List.of(spec), Workflow.Schedule.ONCE, 0);
 		return new JobState(job).step(0, 0);
 	}
 
