--- a/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
@@ -48,7 +48,8 @@
 	private final WaitingJobReservations reservations;
 
 	Dispatcher(SchedulerContext context, Fleet fleet, WaitingJobs waiting, GangRunner gangRunner, GangPlacer placer,
-			GuaranteeAllocator guaranteeAllocator, GuaranteedJobStarter guaranteedJobStarter, WaitingJobReservations reservations) {
+			GuaranteeAllocator guaranteeAllocator, GuaranteedJobStarter guaranteedJobStarter,
+			WaitingJobReservations reservations) {
 		this.context = context;
 		this.fleet = fleet;
 		this.waiting = waiting;
@@ -218,7 +219,8 @@
 			return true;
 		}
 		double coresPerAccelerator = CORE_SHARE_FOR_ACCELERATORS * worker.capacity().cores() / accelerators;
-		return CapacityView.FREE.cores(worker) - need.cores() >= coresPerAccelerator * CapacityView.FREE.accelerators(worker);
+		return CapacityView.FREE.cores(worker) - need.cores() >= coresPerAccelerator
+				* CapacityView.FREE.accelerators(worker);
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
@@ -57,7 +57,8 @@
 	 * @param usable whether a worker may be used
 	 * @return the place and who has to leave, null if there is none
 	 */
-	Eviction cheapest(GangShape shape, CapacityView capacityView, Predicate<Gang> evictable, Predicate<WorkerNode> usable) {
+	Eviction cheapest(GangShape shape, CapacityView capacityView, Predicate<Gang> evictable,
+			Predicate<WorkerNode> usable) {
 		Eviction best = null;
 		for (List<WorkerNode> workers : candidates(shape, capacityView, usable)) {
 			best = cheaper(best, victims(shape, workers, evictable));
@@ -161,7 +162,8 @@
 		return remaining.isNonNegative();
 	}
 
-	private List<List<WorkerNode>> candidates(GangShape shape, CapacityView capacityView, Predicate<WorkerNode> usable) {
+	private List<List<WorkerNode>> candidates(GangShape shape, CapacityView capacityView,
+			Predicate<WorkerNode> usable) {
 		List<List<WorkerNode>> found = new ArrayList<>();
 		SlotIndex free = this.fleet.slotIndex(CapacityView.FREE, shape.perMember());
 		SlotIndex possible = this.fleet.slotIndex(capacityView, shape.perMember());
--- a/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
@@ -22,7 +22,8 @@
 
 	private final WaitingJobReservations reservations;
 
-	Explainer(SchedulerContext context, Fleet fleet, GuaranteeAllocator guaranteeAllocator, WaitingJobReservations reservations) {
+	Explainer(SchedulerContext context, Fleet fleet, GuaranteeAllocator guaranteeAllocator,
+			WaitingJobReservations reservations) {
 		this.context = context;
 		this.fleet = fleet;
 		this.guaranteeAllocator = guaranteeAllocator;
--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -35,7 +35,8 @@
 	/** Attempts that go on once starts are allowed again. */
 	private final List<Gang> deferred = new ArrayList<>();
 
-	GangRunner(SchedulerContext context, Fleet fleet, JobRegistry registry, WaitingJobs waiting, GuaranteeAllocator guaranteeAllocator, WorkerHealth workerHealth, RunTimeEstimator runTimeEstimator) {
+	GangRunner(SchedulerContext context, Fleet fleet, JobRegistry registry, WaitingJobs waiting,
+			GuaranteeAllocator guaranteeAllocator, WorkerHealth workerHealth, RunTimeEstimator runTimeEstimator) {
 		this.context = context;
 		this.fleet = fleet;
 		this.registry = registry;
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
@@ -287,7 +287,8 @@
 	void detach(Gang gang) {
 		GuaranteeReservation reservation = gang.guaranteeReservation;
 		for (Member member : gang.members) {
-			GuaranteeReservation.WorkerPortion portion = member.allocated ? findPortion(reservation, member.worker) : null;
+			GuaranteeReservation.WorkerPortion portion = member.allocated ? findPortion(reservation, member.worker)
+					: null;
 			if (portion != null) {
 				addOwnerUsage(portion, gang.job.spec.shape().perMember(), -1);
 			}
@@ -494,7 +495,8 @@
 
 	private static boolean hasOnlySmallPreemptibleGangs(GuaranteeReservation reservation) {
 		for (Gang gang : reservation.ownerGangs) {
-			boolean small = Evictor.acceleratorEquivalents(gang.job) * 2 < Evictor.acceleratorEquivalents(reservation.shape);
+			boolean small = Evictor.acceleratorEquivalents(gang.job) * 2 < Evictor
+				.acceleratorEquivalents(reservation.shape);
 			if (!small || !gang.job.isPreemptible() || !gang.isActive()) {
 				return false;
 			}
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
@@ -27,9 +27,8 @@
 
 	private final GangRunner runner;
 
-	GuaranteedJobStarter(SchedulerContext context, Fleet fleet, GangPlacer placer, GuaranteeAllocator guaranteeAllocator,
-			Evictor evictor,
-			GangRunner runner) {
+	GuaranteedJobStarter(SchedulerContext context, Fleet fleet, GangPlacer placer,
+			GuaranteeAllocator guaranteeAllocator, Evictor evictor, GangRunner runner) {
 		this.context = context;
 		this.fleet = fleet;
 		this.placer = placer;
--- a/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
@@ -29,7 +29,8 @@
 	/** Recovered members whose workers have not announced themselves yet. */
 	private final Map<WorkerId, Set<Member>> unattachedMembers = new HashMap<>();
 
-	Recovery(SchedulerContext context, Fleet fleet, JobRegistry registry, GangRunner gangRunner, GuaranteeAllocator guaranteeAllocator) {
+	Recovery(SchedulerContext context, Fleet fleet, JobRegistry registry, GangRunner gangRunner,
+			GuaranteeAllocator guaranteeAllocator) {
 		this.context = context;
 		this.fleet = fleet;
 		this.registry = registry;
--- a/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
@@ -77,8 +77,8 @@
 	private boolean passScheduled;
 
 	Rescheduler(SchedulerContext context, Fleet fleet, WaitingJobs waiting, GangPlacer placer, Evictor evictor,
-			GangRunner gangRunner, Dispatcher dispatcher, GuaranteeAllocator guaranteeAllocator, GuaranteedJobStarter guaranteedJobStarter,
-			WaitingJobReservations reservations) {
+			GangRunner gangRunner, Dispatcher dispatcher, GuaranteeAllocator guaranteeAllocator,
+			GuaranteedJobStarter guaranteedJobStarter, WaitingJobReservations reservations) {
 		this.context = context;
 		this.fleet = fleet;
 		this.waiting = waiting;
@@ -186,7 +186,8 @@
 		for (WorkerNode worker : reservation.workers()) {
 			idleAccelerators += Math.max(0, CapacityView.BORROWABLE.accelerators(worker));
 		}
-		double waitSeconds = Math.min(MAX_EXPECTED_WAIT_SECONDS, (reservation.readyAtMillis() - this.context.now) / 1000.0);
+		double waitSeconds = Math.min(MAX_EXPECTED_WAIT_SECONDS,
+				(reservation.readyAtMillis() - this.context.now) / 1000.0);
 		double usableAccelerators = Math.min(idleAccelerators, Evictor.acceleratorEquivalents(job));
 		job.idleAcceleratorSeconds += usableAccelerators * PASS_INTERVAL_MILLIS / 1000.0;
 		if (usableAccelerators * waitSeconds + job.idleAcceleratorSeconds < eviction.loss()) {
@@ -211,13 +212,13 @@
 	 * @return true if so
 	 */
 	private boolean defragment(JobState job) {
-		if (this.fleet.slotIndex(placementView(job), job.spec.shape().perMember()).total() < job.spec.shape().members()) {
+		if (this.fleet.slotIndex(placementView(job), job.spec.shape().perMember()).total() < job.spec.shape()
+			.members()) {
 			return false;
 		}
 		Evictor.Eviction eviction = this.evictor.cheapest(job.spec.shape(),
 				(job.isPreemptible() ? CapacityView.MOVABLE : CapacityView.RECLAIMABLE),
-				(gang) -> gang.isActive()
-						&& !this.evictor.wasRecentlyPreempted(gang)
+				(gang) -> gang.isActive() && !this.evictor.wasRecentlyPreempted(gang)
 						&& (gang.guaranteeReservation == null || job.isPreemptible()),
 				usable(job));
 		if (eviction == null) {
--- a/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
@@ -267,7 +267,8 @@
 			Gang gang = member.gang;
 			if (!gang.preemptionProtected || gang.guaranteeReservation != null) {
 				long elapsed = this.context.now - gang.stageSince;
-				emptyAtMillis = Math.max(emptyAtMillis, this.context.now + this.runTimes.remainingMillis(gang.job.spec, elapsed));
+				emptyAtMillis = Math.max(emptyAtMillis,
+						this.context.now + this.runTimes.remainingMillis(gang.job.spec, elapsed));
 			}
 		}
 		return emptyAtMillis;
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
@@ -75,7 +75,8 @@
 		this.totalScore = decayed(this.totalScore, this.totalScoreAt) + penalty;
 		this.totalScoreAt = this.context.now;
 		double peerAverage = (this.totalScore - worker.failureScore) / Math.max(1, this.fleet.workers().size() - 1);
-		boolean aboveLimits = worker.failureScore >= MIN_QUARANTINE_SCORE && worker.failureScore > MIN_PEER_SCORE_RATIO * peerAverage;
+		boolean aboveLimits = worker.failureScore >= MIN_QUARANTINE_SCORE
+				&& worker.failureScore > MIN_PEER_SCORE_RATIO * peerAverage;
 		int maxQuarantined = (int) Math.max(1, this.fleet.workers().size() * MAX_QUARANTINED_SHARE);
 		if ((aboveLimits || worker.probation) && !worker.quarantined && this.quarantined.size() < maxQuarantined) {
 			quarantine(worker);
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -43,8 +43,8 @@
 			zone.accepting = accepting;
 			zone.stateChangeCount++;
 			workers(zone).forEach(this.fleet::markChanged);
-			workers(zone)
-				.forEach(accepting ? this.guaranteeAllocator::onWorkerAvailable : this.guaranteeAllocator::onWorkerUnavailable);
+			workers(zone).forEach(accepting ? this.guaranteeAllocator::onWorkerAvailable
+					: this.guaranteeAllocator::onWorkerUnavailable);
 			if (!accepting) {
 				drainZone(zone);
 			}
--- a/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
@@ -162,7 +162,8 @@
 			job.openRuns().forEach((run) -> this.runLifecycle.stop(run, WorkOutcome.CANCELLED));
 			this.state.explain("job-cancelled", "job", id, "openRuns", job.openRuns().size());
 		}
-		this.state.writeAheadBuffer().afterPersisted(() -> this.state.emit(new WorkflowCommand.CancellationPersisted(id)));
+		this.state.writeAheadBuffer()
+			.afterPersisted(() -> this.state.emit(new WorkflowCommand.CancellationPersisted(id)));
 	}
 
 	private void restore(WorkflowEvent.StoredJob persisted) {
--- a/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
@@ -250,7 +250,8 @@
 
 	private void recordRunTime(Run run) {
 		StepState step = run.task().step();
-		if (!run.isObservedFromStart() || step.spec().longRunning() || !this.state.has(SchedulerFeature.LEARN_RUN_TIMES)) {
+		if (!run.isObservedFromStart() || step.spec().longRunning()
+				|| !this.state.has(SchedulerFeature.LEARN_RUN_TIMES)) {
 			return;
 		}
 		long millis = this.state.steadyMillis() - run.startedMillis();
--- a/core/src/main/java/org/almondmount/workflow/impl/TentativeCapacity.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/TentativeCapacity.java
@@ -74,7 +74,8 @@
 		long remaining = unit.tasks().size();
 		for (Worker worker : workers) {
 			if (canPlace(worker, unit)) {
-				remaining -= Math.min(available(worker).countFitting(unit.allocation()), remainingTaskLimit(worker, unit));
+				remaining -= Math.min(available(worker).countFitting(unit.allocation()),
+						remainingTaskLimit(worker, unit));
 			}
 			if (remaining <= 0) {
 				return true;
