--- a/core/src/main/java/org/almondmount/workflow/Checkpointing.java
+++ b/core/src/main/java/org/almondmount/workflow/Checkpointing.java
@@ -3,14 +3,14 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * How workers keep the progress of tasks that save it. Immutable.
+ * The times of checkpointing for tasks that save their progress. Immutable.
  *
- * @param intervalMillis work between two checkpoints
- * @param restoreMillis how long a task takes to go on from one
+ * @param intervalMillis the run time between two checkpoints of a task
+ * @param restoreMillis how long a task takes to resume from a checkpoint
  */
 public record Checkpointing(long intervalMillis, long restoreMillis) {
 
-	/** What is taken for granted where nobody says otherwise. */
+	/** The default if nothing is configured. */
 	public static final Checkpointing DEFAULT = new Checkpointing(1_000, 600);
 
 	public Checkpointing {
--- a/core/src/main/java/org/almondmount/workflow/FleetConfiguration.java
+++ b/core/src/main/java/org/almondmount/workflow/FleetConfiguration.java
@@ -6,11 +6,12 @@
 import java.util.Optional;
 
 /**
- * What operators declare about queues and customers, whole. Immutable.
+ * The complete configuration of queues, pools and customers, as declared by operators.
+ * Immutable.
  */
 public final class FleetConfiguration {
 
-	/** Nothing declared yet. */
+	/** The configuration before operators have declared anything. */
 	public static final FleetConfiguration NONE = new FleetConfiguration(0, List.of(), List.of(), List.of());
 
 	private final long revision;
@@ -42,8 +43,9 @@
 	}
 
 	/**
-	 * Grows with each change; a lower one is never taken after a higher one.
-	 * @return the revision, 0 where nothing is declared yet
+	 * Returns the revision, which grows with each change. A configuration with a lower
+	 * revision never replaces one with a higher revision.
+	 * @return the revision, 0 if nothing has been declared yet
 	 */
 	public long revision() {
 		return this.revision;
@@ -70,19 +72,20 @@
 	}
 
 	/**
-	 * Whose key that is.
-	 * @param key what a caller presented
-	 * @return the customer, or empty for a key that is not known
+	 * Returns the customer that a key belongs to.
+	 * @param key the key that a caller presented
+	 * @return the customer, or empty for an unknown key
 	 */
 	public Optional<FleetCustomer> customerByKey(String key) {
 		return Optional.ofNullable(this.customersByKey.get(key));
 	}
 
 	/**
-	 * The queue that a call goes to: the longest prefix of its path decides.
+	 * Returns the queue that a call is routed to: the one with the call's host and the
+	 * longest matching path prefix.
 	 * @param host the host name of the call, without a port
-	 * @param path its path
-	 * @return the queue, or empty where there is none
+	 * @param path the path of the call
+	 * @return the queue, or empty if none matches
 	 */
 	public Optional<JobQueue> route(String host, String path) {
 		JobQueue best = null;
--- a/core/src/main/java/org/almondmount/workflow/JobFailure.java
+++ b/core/src/main/java/org/almondmount/workflow/JobFailure.java
@@ -1,14 +1,14 @@
 package org.almondmount.workflow;
 
 /**
- * Why a job is given up.
+ * The reason for which a job failed.
  */
 public enum JobFailure {
 
-	/** A task or a gang failed as often as its queue allows. */
+	/** A task or a gang used up the attempts that its queue allows. */
 	ATTEMPTS_USED_UP("a task failed as often as its queue allows", "see why it fails before it is handed in again"),
 
-	/** Workers crashed under a task. */
+	/** Workers crashed repeatedly while they ran the same task. */
 	WORKERS_CRASHED("workers crashed under task", "see what it does to its worker before it is handed in again");
 
 	private final String reason;
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * What a caller is told.
-	 * @param detail what it is about, or empty
-	 * @return the reason with its remedy
+	 * Returns the message that callers of the job receive.
+	 * @param detail the details to append to the reason, or empty
+	 * @return the reason followed by the remedy
 	 */
 	public String message(String detail) {
 		return this.reason + detail + "; " + this.remedy;
--- a/core/src/main/java/org/almondmount/workflow/JobPhase.java
+++ b/core/src/main/java/org/almondmount/workflow/JobPhase.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * Where a job stands, as its caller is told.
+ * The state of a job as its caller sees it.
  */
 public enum JobPhase {
 
@@ -13,16 +13,16 @@
 	/** A task has started. */
 	RUNNING(false),
 
-	/** Every task is done. */
+	/** All tasks have completed. */
 	COMPLETED(true),
 
 	/**
-	 * A task or a gang failed as often as its queue allows, or workers crashed under a
-	 * task.
+	 * A task or a gang used up the attempts that its queue allows, or workers crashed
+	 * repeatedly while they ran the same task.
 	 */
 	FAILED(true),
 
-	/** It was cancelled. */
+	/** The caller cancelled the job. */
 	CANCELLED(true);
 
 	private final boolean isTerminal;
@@ -36,8 +36,8 @@
 	}
 
 	/**
-	 * The phase as callers read it.
-	 * @return the word
+	 * Returns the name of the phase in answers to callers.
+	 * @return the constant's name in lower case
 	 */
 	public String externalName() {
 		return name().toLowerCase(Locale.ROOT);
--- a/core/src/main/java/org/almondmount/workflow/JobQueue.java
+++ b/core/src/main/java/org/almondmount/workflow/JobQueue.java
@@ -1,19 +1,23 @@
 package org.almondmount.workflow;
 
 /**
- * A queue that takes jobs, as operators declare it. Immutable.
+ * A job queue as declared by operators. Immutable.
+ * <p>
+ * The objective for the time in which a job completes is {@code criticalPathFactor} times
+ * the length of its critical path plus {@code latencyAllowanceMillis}.
  *
- * @param name its name
- * @param host the host name under which callers reach it
- * @param pathPrefix the path under which callers reach it
- * @param pool the workers that run its tasks
- * @param priority 0 comes first and may preempt others
- * @param maxAttempts failed runs of a task, or of a gang, after which the job fails
- * @param criticalPathFactor how many times its longest chain of work a job may take
- * @param latencyAllowanceMillis what is added to that objective
- * @param anonymousAllowed whether callers need no key
+ * @param name the name of the queue
+ * @param host the host name at which callers reach the queue
+ * @param pathPrefix the path prefix at which callers reach the queue
+ * @param pool the pool of workers that run its tasks
+ * @param priority the priority; 0 is the highest and may preempt the others
+ * @param maxAttempts the number of failed runs of a task or a gang after which the job
+ * fails
+ * @param criticalPathFactor the factor of the critical path in the objective
+ * @param latencyAllowanceMillis the constant part of the objective
+ * @param anonymousAllowed whether callers may omit the API key
  * @param adviceRequired whether only the advice service knows which workers may run a
- * step
+ * step, so that it has to be asked
  */
 public record JobQueue(String name, String host, String pathPrefix, String pool, int priority, int maxAttempts,
 		double criticalPathFactor, long latencyAllowanceMillis, boolean anonymousAllowed, boolean adviceRequired) {
@@ -21,8 +25,9 @@
 	private static final int URGENT_PRIORITY = 0;
 
 	/**
-	 * Whether its jobs come before those of other queues and may take their place.
-	 * @return whether they do
+	 * Returns whether the jobs of this queue are placed before those of other queues and
+	 * may preempt them.
+	 * @return whether the queue has the urgent priority
 	 */
 	public boolean urgent() {
 		return this.priority == URGENT_PRIORITY;
--- a/core/src/main/java/org/almondmount/workflow/JobRecord.java
+++ b/core/src/main/java/org/almondmount/workflow/JobRecord.java
@@ -5,17 +5,18 @@
 import java.util.stream.Collectors;
 
 /**
- * The progress of a job as it is kept. Immutable. What is not named is as it was at the
- * beginning: no step done, no run made.
+ * The stored progress of a job. Immutable. A step or task that is not listed is in its
+ * initial state: not done and without runs.
  *
- * @param job the job
- * @param phase where it stands
- * @param doneSteps steps whose tasks are all done
- * @param tasks tasks of other steps that have a history, and any task with an open run
+ * @param job the identifier of the job
+ * @param phase the phase of the job
+ * @param doneSteps the steps whose tasks are all done
+ * @param tasks the tasks of the other steps that have runs or failures, and every task
+ * with an open run
  */
 public record JobRecord(String job, JobPhase phase, List<StepKey> doneSteps, List<TaskRecord> tasks) {
 
-	/** Fewer never end a job. */
+	/** A job never fails for fewer confirmed crashes of one task. */
 	private static final int MIN_CRASHES_FOR_FAILURE = 2;
 
 	public JobRecord {
@@ -24,8 +25,8 @@
 	}
 
 	/**
-	 * Why the job was given up, for its caller.
-	 * @return the reason and its remedy, or empty for a job that was not
+	 * Returns why the job failed, as a message for its caller.
+	 * @return the reason and the remedy, or empty if the job has not failed
 	 */
 	public Optional<String> failureMessage() {
 		if (this.phase != JobPhase.FAILED) {
@@ -51,27 +52,27 @@
 	}
 
 	/**
-	 * A step of one occurrence.
+	 * Identifies a step within one occurrence of the job.
 	 *
-	 * @param occurrence the occurrence
-	 * @param step the step
+	 * @param occurrence the number of the occurrence
+	 * @param step the number of the step
 	 */
 	public record StepKey(int occurrence, int step) {
 	}
 
 	/**
-	 * What is kept of a task.
+	 * The stored state of a task.
 	 *
-	 * @param step the step of the occurrence
-	 * @param index the task's number
+	 * @param step the step that the task belongs to
+	 * @param index the number of the task within its step
 	 * @param lastRun the number of its last run, 0 for none
-	 * @param failures how often it failed
-	 * @param done whether it is done
+	 * @param failures the number of its failed runs
+	 * @param done whether the task is done
 	 * @param checkpoint its last checkpoint, or empty
-	 * @param openRuns its runs that may still be at work
-	 * @param lastFailedRun of a gang's first task: the last run of the gang whose failure
-	 * is counted, 0 for none
-	 * @param crashes its runs under which a worker crashed
+	 * @param openRuns its runs that may still be active
+	 * @param lastFailedRun for the first task of a gang, the last run of the gang whose
+	 * failure has been counted; 0 for none
+	 * @param crashes its runs during which a worker crashed, or may have crashed
 	 */
 	public record TaskRecord(StepKey step, int index, int lastRun, int failures, boolean done, String checkpoint,
 			List<OpenRun> openRuns, int lastFailedRun, List<Crash> crashes) {
@@ -89,23 +90,25 @@
 	}
 
 	/**
-	 * A run under which a worker crashed, or may have.
+	 * A run during which a worker crashed, or may have crashed.
 	 *
-	 * @param run the run's number
-	 * @param incarnation the life of the worker that ended
-	 * @param confirmed whether the process beside the worker saw the run at work there
-	 * @param observedRunMillis how long the run was at work at least, in milliseconds
-	 * @param blamePercent how much of the blame falls on its step, by what else was at
-	 * work there; 100 where nothing else was
+	 * @param run the number of the run
+	 * @param incarnation the incarnation of the worker that ended
+	 * @param confirmed whether the target beside the worker saw the run active there
+	 * @param observedRunMillis a lower bound of how long the run was active, in
+	 * milliseconds
+	 * @param blamePercent the share of the blame that falls on the step of this run,
+	 * given the other runs on the worker; 100 if there were none
 	 */
 	public record Crash(int run, WorkerIncarnation incarnation, boolean confirmed, long observedRunMillis,
 			int blamePercent) {
 
 		/**
-		 * A run that counts like a crash though none was seen.
-		 * @param run the run's number
-		 * @param incarnation the life of the worker
-		 * @return the crash that there may have been
+		 * Returns the record of a possible crash, which counts like a crash although none
+		 * was observed.
+		 * @param run the number of the run
+		 * @param incarnation the incarnation of the worker
+		 * @return the unconfirmed crash
 		 */
 		public static Crash unconfirmed(int run, WorkerIncarnation incarnation) {
 			return new Crash(run, incarnation, false, 0, 0);
@@ -114,12 +117,12 @@
 	}
 
 	/**
-	 * A run that may be at work.
+	 * A run that may be active.
 	 *
-	 * @param number its number
-	 * @param target the process beside its worker
-	 * @param incarnation the life of the worker in which it may have begun
-	 * @param epoch the epoch under which it was ordered
+	 * @param number the number of the run
+	 * @param target the name of the target beside its worker
+	 * @param incarnation the incarnation of the worker in which the run may have started
+	 * @param epoch the epoch of the term that sent the start command
 	 */
 	public record OpenRun(int number, String target, WorkerIncarnation incarnation, long epoch) {
 	}
--- a/core/src/main/java/org/almondmount/workflow/PlacementRateLimiter.java
+++ b/core/src/main/java/org/almondmount/workflow/PlacementRateLimiter.java
@@ -1,19 +1,20 @@
 package org.almondmount.workflow;
 
 /**
- * Says when waiting work is placed next. Deterministic; not thread-safe: one duty owns
- * it.
+ * Decides when the next placement round of waiting work is due. Deterministic; not
+ * thread-safe, so only one thread may use an instance.
  * <p>
- * It answers bursts of events, such as the reports and refusals of all workers after a
- * loss of power. A holder that places after each of them is busy for seconds; its
- * renewals wait behind, its term ends, and the next holder fares no better, so that
- * nothing runs at all. Placed once for all that has arrived, and at most half of the
- * time, the same work leaves the holder time for its term, whatever the size of the fleet
- * and the speed of its machine.
+ * It protects the holder from bursts of events, such as the reports and refusals of all
+ * workers after a power loss. A holder that ran a round after each event would be busy
+ * for seconds: the renewals of its term would be delayed until the term ends, and the
+ * next holder would fail in the same way, so that nothing runs at all. One round serves
+ * all events that have arrived by then, and rounds take at most half of the time. This
+ * leaves the holder time to renew its term, regardless of the size of the fleet and the
+ * speed of the machine.
  */
 public final class PlacementRateLimiter {
 
-	/** Time without placement after a round, in parts of what the round took. */
+	/** The pause after a round as a multiple of the duration of the round. */
 	private static final int PAUSE_TO_ROUND_RATIO = 1;
 
 	private boolean roundRequested;
@@ -21,25 +22,26 @@
 	private long earliestRoundMillis = Long.MIN_VALUE;
 
 	/**
-	 * Takes note that something has changed since the last round.
+	 * Requests a round because something has changed since the last one.
 	 */
 	public void requestRound() {
 		this.roundRequested = true;
 	}
 
 	/**
-	 * Whether a round is to be run.
-	 * @param nowMillis the driver's steady clock in milliseconds
-	 * @return whether something has changed, and the last round was long enough ago
+	 * Returns whether a round is due.
+	 * @param nowMillis the time on the driver's monotonic clock, in milliseconds
+	 * @return whether a round has been requested and the pause after the last one is over
 	 */
 	public boolean isDue(long nowMillis) {
 		return this.roundRequested && nowMillis >= this.earliestRoundMillis;
 	}
 
 	/**
-	 * Takes note of a round.
-	 * @param startMillis when it began, by the driver's steady clock in milliseconds
-	 * @param endMillis when it ended
+	 * Records a completed round.
+	 * @param startMillis when the round started, on the driver's monotonic clock in
+	 * milliseconds
+	 * @param endMillis when the round ended, on the same clock
 	 */
 	public void recordRound(long startMillis, long endMillis) {
 		this.roundRequested = false;
--- a/core/src/main/java/org/almondmount/workflow/ResourceAmount.java
+++ b/core/src/main/java/org/almondmount/workflow/ResourceAmount.java
@@ -1,26 +1,26 @@
 package org.almondmount.workflow;
 
 /**
- * An amount of what a worker has, as fine as tasks ask for it.
+ * An amount of a worker's resources, in the units in which tasks request them.
  *
- * @param cpuMillis thousandths of a processor core
+ * @param cpuMillis thousandths of a CPU core
  * @param memoryMb memory in MiB
  * @param accelerators whole accelerators
  */
 public record ResourceAmount(long cpuMillis, long memoryMb, long accelerators) {
 
-	/** Nothing of anything. */
+	/** No resources. */
 	public static final ResourceAmount NONE = new ResourceAmount(0, 0, 0);
 
-	/** How many cores one accelerator counts for when amounts are compared. */
+	/** The number of cores that one accelerator counts for when amounts are compared. */
 	private static final long CORES_PER_ACCELERATOR = 8;
 
 	private static final double MILLIS_PER_CORE = 1_000.0;
 
 	/**
-	 * Whether this amount fits into another.
-	 * @param available what is there
-	 * @return true when no dimension exceeds the room
+	 * Returns whether this amount fits into the available resources.
+	 * @param available the available resources
+	 * @return whether no dimension exceeds the available amount
 	 */
 	public boolean fitsIn(ResourceAmount available) {
 		return this.cpuMillis <= available.cpuMillis && this.memoryMb <= available.memoryMb
@@ -33,9 +33,10 @@
 	}
 
 	/**
-	 * What is left; a dimension may become negative where more is taken than is there.
-	 * @param other what is taken away
-	 * @return the rest
+	 * Subtracts an amount. A dimension becomes negative if more is subtracted than there
+	 * is.
+	 * @param other the amount to subtract
+	 * @return the difference
 	 */
 	public ResourceAmount minus(ResourceAmount other) {
 		return new ResourceAmount(this.cpuMillis - other.cpuMillis, this.memoryMb - other.memoryMb,
@@ -43,9 +44,9 @@
 	}
 
 	/**
-	 * The larger of two amounts in each dimension.
+	 * Returns the maximum of two amounts in each dimension.
 	 * @param other the other amount
-	 * @return at least either of them
+	 * @return the maximum
 	 */
 	public ResourceAmount max(ResourceAmount other) {
 		return new ResourceAmount(Math.max(this.cpuMillis, other.cpuMillis), Math.max(this.memoryMb, other.memoryMb),
@@ -57,9 +58,9 @@
 	}
 
 	/**
-	 * How often another amount goes into this one.
-	 * @param unit the other amount
-	 * @return how often; without bound where it asks for nothing
+	 * Returns how many times an amount fits into this one.
+	 * @param unit the amount to fit
+	 * @return the count; a dimension that the unit does not request imposes no limit
 	 */
 	public long countFitting(ResourceAmount unit) {
 		long count = Math.min(countFitting(this.cpuMillis, unit.cpuMillis), countFitting(this.memoryMb, unit.memoryMb));
@@ -71,9 +72,10 @@
 	}
 
 	/**
-	 * How much of a whole this amount is, over all dimensions that the whole has.
-	 * @param whole a worker's capacity
-	 * @return the sum of the shares, 0 for nothing
+	 * Returns the sum of this amount's shares of a capacity over all dimensions that the
+	 * capacity has.
+	 * @param whole the capacity of a worker
+	 * @return the sum of the shares, 0 for an empty amount
 	 */
 	public double totalShareOf(ResourceAmount whole) {
 		return ratio(this.cpuMillis, whole.cpuMillis) + ratio(this.memoryMb, whole.memoryMb)
@@ -81,9 +83,9 @@
 	}
 
 	/**
-	 * How much of a whole this amount is, in the dimension of which it takes most.
-	 * @param whole what there is
-	 * @return the largest of the shares, 0 for nothing
+	 * Returns this amount's share of a capacity in the dimension in which it is largest.
+	 * @param whole the total capacity
+	 * @return the dominant share, 0 for an empty amount
 	 */
 	public double dominantShareOf(ResourceAmount whole) {
 		double share = Math.max(ratio(this.cpuMillis, whole.cpuMillis), ratio(this.memoryMb, whole.memoryMb));
@@ -91,8 +93,8 @@
 	}
 
 	/**
-	 * The amount as cores, an accelerator counting for eight of them.
-	 * @return cores
+	 * Converts this amount to cores; an accelerator counts for eight.
+	 * @return the number of cores, without memory
 	 */
 	public double coreEquivalents() {
 		return this.cpuMillis / MILLIS_PER_CORE + this.accelerators * CORES_PER_ACCELERATOR;
--- a/core/src/main/java/org/almondmount/workflow/RunOutcome.java
+++ b/core/src/main/java/org/almondmount/workflow/RunOutcome.java
@@ -5,25 +5,25 @@
  */
 public enum RunOutcome {
 
-	/** Its work is done. */
+	/** The run completed its work. */
 	DONE(true, false),
 
-	/** It failed, by its own fault or its worker's. */
+	/** The run failed, through a fault of its own or of its worker. */
 	FAILED(false, true),
 
-	/** It was told to stop. */
+	/** The run was stopped on command. */
 	STOPPED(false, false),
 
-	/** Its lease ran out. */
+	/** The lease of the run expired. */
 	LAPSED(false, false),
 
-	/** Another member of its gang ended. */
+	/** Another member of the gang ended. */
 	BROKEN(false, false),
 
-	/** The other members of its gang did not come in time. */
+	/** The other members of its gang did not start in time. */
 	ALONE(false, false),
 
-	/** Its worker is gone, or never began it. */
+	/** The worker is gone, or never started the run. */
 	LOST(false, false);
 
 	private final boolean done;
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * Whether it counts against the attempts that a queue allows.
-	 * @return whether it does
+	 * Returns whether the run counts against the attempts that its queue allows.
+	 * @return whether the run counts as an attempt
 	 */
 	public boolean countsAsAttempt() {
 		return this.countsAsAttempt;
--- a/core/src/main/java/org/almondmount/workflow/SchedulerFeature.java
+++ b/core/src/main/java/org/almondmount/workflow/SchedulerFeature.java
@@ -6,53 +6,53 @@
 import java.util.Set;
 
 /**
- * What the workflow scheduler does beyond its promises to have more work done in time.
- * Each can be switched off by itself, to see what it is worth on an installation. The
- * promises, such as guarantees and whole gangs, hold without any of them.
+ * Optional features of the workflow scheduler, which let more work complete in time. Each
+ * can be disabled separately to see its effect on an installation. The scheduler's
+ * promises, such as guarantees and complete gangs, hold without any of them.
  */
 public enum SchedulerFeature {
 
-	/** Checkpoints are kept within about a second, against a loss of all power. */
+	/** Stores checkpoints within about a second, so that they survive a power loss. */
 	KEEP_CHECKPOINTS,
 
-	/** Run times are learnt from tasks that ended; without it callers' guesses count. */
+	/** Learns run times from completed tasks instead of using callers' estimates. */
 	LEARN_RUN_TIMES,
 
-	/** What can't be in time any more waits behind what still can. */
+	/** Places jobs that can no longer be in time behind those that still can. */
 	LATE_WAITS_BEHIND,
 
-	/** Room is kept for the first units that do not fit. */
+	/** Reserves capacity for the first waiting units that do not fit. */
 	RESERVE_ROOM,
 
-	/** Work that has time gives way to urgent work that is in time only so. */
+	/** Preempts work with slack for urgent work that would otherwise be late. */
 	GIVE_WAY_TO_URGENT,
 
-	/** Nothing gives way to urgent work that will find room in time by itself. */
+	/** Does not preempt for urgent work that will find free capacity in time. */
 	WAIT_BEFORE_GIVING_WAY,
 
-	/** Runs are moved in time from a worker that leaves. */
+	/** Moves runs away from a draining worker before it leaves. */
 	MOVE_FROM_LEAVING,
 
-	/** A run that makes no progress is stopped and begun elsewhere. */
+	/** Stops a run that makes no progress and restarts its task elsewhere. */
 	STOP_STANDSTILL,
 
-	/** A worker on which several jobs failed in a row is left alone for a while. */
+	/** Does not use a worker for a while after several jobs failed on it in a row. */
 	REST_SUSPICIOUS,
 
-	/** Units go where they leave the least room; without it, to the first that fits. */
+	/** Places units by best fit instead of first fit. */
 	PACK_TIGHTLY,
 
-	/** A gang that is slow across racks waits for room in one. */
+	/** Lets a gang that is slow across racks wait for capacity in one rack. */
 	GANG_IN_ONE_RACK,
 
-	/** A task that may crash its worker is begun where it takes little down with it. */
+	/** Starts a task that may crash its worker where a crash affects little else. */
 	SET_SUSPECTS_APART;
 
-	/** All of them. */
+	/** All features. */
 	public static final Set<SchedulerFeature> ALL = Collections.unmodifiableSet(EnumSet.allOf(SchedulerFeature.class));
 
 	/**
-	 * Its name in settings.
+	 * Returns the name of the feature in settings.
 	 * @return the constant's name in camel case
 	 */
 	public String key() {
--- a/core/src/main/java/org/almondmount/workflow/SchedulerPolicy.java
+++ b/core/src/main/java/org/almondmount/workflow/SchedulerPolicy.java
@@ -5,35 +5,36 @@
 import java.util.Set;
 
 /**
- * The times by which the workflow scheduler decides. Immutable.
+ * The time limits and optional features of the workflow scheduler. Immutable.
  *
- * @param leaseMillis for how long what runs beside a target goes on after the target was
- * last granted its lease
- * @param maxSilenceMillis silence of a target after which its worker gets nothing new
- * @param orderRetryMillis after which an order of which nothing was heard is sent again
- * @param refusalPauseMillis how long a worker that refused a run gets nothing new
- * @param stopTimeoutMillis how long a worker takes at most to end a run
- * @param endedJobRetentionMillis how long callers can ask for a job that has ended
- * @param checkpointing how workers keep the progress of tasks
- * @param features what it does beyond its promises
+ * @param leaseMillis how long the runs beside a target continue after the last grant of
+ * the target's lease
+ * @param maxSilenceMillis the time without a sign of life from a target after which its
+ * worker gets no new runs
+ * @param orderRetryMillis the time after which a command without an answer is sent again
+ * @param refusalPauseMillis how long a worker that refused a run gets no new runs
+ * @param stopTimeoutMillis the maximum time that a worker takes to end a run
+ * @param endedJobRetentionMillis how long the status of an ended job can be queried
+ * @param checkpointing the times of checkpointing
+ * @param features the enabled features
  */
 public record SchedulerPolicy(long leaseMillis, long maxSilenceMillis, long orderRetryMillis, long refusalPauseMillis,
 		long stopTimeoutMillis, long endedJobRetentionMillis, Checkpointing checkpointing,
 		Set<SchedulerFeature> features) {
 
 	/**
-	 * Two heartbeats of a target may be missing before it counts as silent, an order is
-	 * repeated after the time in which nearly all are answered, and a refusing worker is
-	 * looked at again in a third of a second. The slowest workers known take 0.9 s to end
-	 * a run.
+	 * The default policy. A target may miss two heartbeats before it counts as silent. A
+	 * command is repeated after the time in which nearly all commands are answered, and a
+	 * worker that refused a run is considered again after a third of a second. The
+	 * slowest workers known take 0.9 s to end a run.
 	 */
 	public static final SchedulerPolicy DEFAULT = new SchedulerPolicy(6_000, 2_500, 800, 300, 900, 600_000,
 			Checkpointing.DEFAULT, SchedulerFeature.ALL);
 
-	/** A worker's clock may be 2 % slow, and a lease is measured on it. */
+	/** Leases are timed by the worker's clock, which may be 2 % slow. */
 	private static final double MAX_CLOCK_SLOWDOWN = 1.02;
 
-	/** Time for an end at the worker to take effect, in milliseconds. */
+	/** The time until the end of a run takes effect at the worker, in milliseconds. */
 	private static final long RUN_END_MARGIN_MILLIS = 300;
 
 	public SchedulerPolicy {
@@ -79,8 +80,9 @@
 	}
 
 	/**
-	 * After which silence all that ran beside a target has surely ended.
-	 * @return milliseconds since it was last granted its lease
+	 * Returns the time after which all runs beside a silent target are certain to have
+	 * ended.
+	 * @return milliseconds since the last grant of the target's lease
 	 */
 	public long lapsedAfterMillis() {
 		return (long) (this.leaseMillis * MAX_CLOCK_SLOWDOWN) + RUN_END_MARGIN_MILLIS;
--- a/core/src/main/java/org/almondmount/workflow/Step.java
+++ b/core/src/main/java/org/almondmount/workflow/Step.java
@@ -5,18 +5,20 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * One step of a workflow: tasks that are alike. Immutable.
+ * A step of a workflow: a number of identical tasks. Immutable.
  *
- * @param taskCount how many tasks
- * @param demand what each task needs
- * @param estimateMillis a rough guess of a task's run time, 0 where there is none
- * @param dependencies numbers of the steps whose tasks must all be done before
- * @param savesCheckpoints whether its tasks save their progress
- * @param gangScheduled whether its tasks work only all together
- * @param placement where its tasks may and should run
+ * @param taskCount the number of tasks
+ * @param demand the resources that each task needs
+ * @param estimateMillis a rough estimate of a task's run time, 0 if there is none
+ * @param dependencies the numbers of the steps whose tasks must all be done before this
+ * step starts
+ * @param savesCheckpoints whether the tasks save their progress
+ * @param gangScheduled whether the tasks only make progress if all of them run at the
+ * same time
+ * @param placement the placement constraints and preferences of the tasks
  * @param duplicatesAllowed whether two copies of one task may run at the same time
- * @param service how a step that lasts behaves; {@link ServiceSpec#NONE} for work that
- * ends
+ * @param service the attributes of a long-running step; {@link ServiceSpec#NONE} for work
+ * that ends
  */
 public record Step(int taskCount, ResourceAmount demand, long estimateMillis, List<Integer> dependencies,
 		boolean savesCheckpoints, boolean gangScheduled, Placement placement, boolean duplicatesAllowed,
@@ -30,28 +32,29 @@
 	}
 
 	/**
-	 * What each task takes of a worker's room. Tasks that only take processor time that
-	 * others leave take none of it away.
-	 * @return the room
+	 * Returns the resources that each task occupies on a worker. Tasks that only use idle
+	 * CPU time occupy no CPU.
+	 * @return the resources to allocate
 	 */
 	public ResourceAmount allocation() {
 		return this.service.idleCpuOnly() ? this.demand.withoutCpu() : this.demand;
 	}
 
 	/**
-	 * Whether it matters to the step's tasks what runs beside them.
-	 * @return whether there are steps from which they have to stay apart
+	 * Returns whether it matters which other tasks share a worker with tasks of this
+	 * step.
+	 * @return whether there can be steps that this one conflicts with
 	 */
 	public boolean isColocationSensitive() {
 		return this.service.idleCpuOnly() || this.service.latencyTargetMillis() > 0;
 	}
 
 	/**
-	 * Whether the step's tasks must not stand beside those of another step. What fills
-	 * idle time slows others down by amounts that nobody knows beforehand, so it is kept
-	 * away from what has a bound on its response times.
+	 * Returns whether tasks of this step must not share a worker with tasks of another
+	 * step. Tasks that use idle CPU time slow others down by an amount that is not known
+	 * in advance, so they are kept apart from tasks with a latency target.
 	 * @param other the other step
-	 * @return whether they must stay apart
+	 * @return whether the two steps must be kept apart
 	 */
 	public boolean conflictsWith(Step other) {
 		return this.service.idleCpuOnly() && other.service.latencyTargetMillis() > 0
@@ -59,42 +62,45 @@
 	}
 
 	/**
-	 * Whether the step's tasks run until the job is cancelled.
-	 * @return whether they do
+	 * Returns whether the tasks run until the job is cancelled.
+	 * @return whether the step is long-running
 	 */
 	public boolean longRunning() {
 		return this.service.longRunning();
 	}
 
 	/**
-	 * Where tasks may and should run.
+	 * The placement constraints and preferences of tasks.
 	 *
 	 * @param requiredLabel a label that the worker must have, or empty
-	 * @param dataRack the rack near which tasks run fast, or empty
-	 * @param sameRack whether a gang runs fast only within one rack
-	 * @param maxPerWorker tasks of one occurrence that one worker may run, 0 for any
-	 * number
+	 * @param dataRack the rack of the input data, near which tasks run fast, or empty
+	 * @param sameRack whether a gang only runs fast within one rack
+	 * @param maxPerWorker the maximum number of tasks of one occurrence on one worker, 0
+	 * for no limit
 	 */
 	public record Placement(String requiredLabel, String dataRack, boolean sameRack, int maxPerWorker) {
 
-		/** Anywhere. */
+		/** No constraints or preferences. */
 		public static final Placement ANYWHERE = new Placement("", "", false, 0);
 
 	}
 
 	/**
-	 * The terms of a step that lasts, and of what shares a worker with such steps.
+	 * The attributes of a long-running step, and of steps that share a worker with such
+	 * steps.
 	 *
 	 * @param longRunning whether the tasks run until the job is cancelled
-	 * @param image what the tasks run; tasks of one image behave alike
-	 * @param latencyTargetMillis the bound of the tasks' own response times, 0 for none
-	 * @param idleCpuOnly whether the tasks only take processor time that others leave
-	 * @param maxUnavailable tasks that may be away at once by the scheduler's doing
+	 * @param image the image that the tasks run; tasks of the same image behave alike
+	 * @param latencyTargetMillis the upper bound for the tasks' response times, 0 for
+	 * none
+	 * @param idleCpuOnly whether the tasks only use CPU time that others leave idle
+	 * @param maxUnavailable the maximum number of tasks that the scheduler may make
+	 * unavailable at the same time, 0 for no limit
 	 */
 	public record ServiceSpec(boolean longRunning, String image, long latencyTargetMillis, boolean idleCpuOnly,
 			int maxUnavailable) {
 
-		/** Work that ends. */
+		/** The attributes of a step that ends by itself. */
 		public static final ServiceSpec NONE = new ServiceSpec(false, "", 0, false, 0);
 
 	}
--- a/core/src/main/java/org/almondmount/workflow/TaskId.java
+++ b/core/src/main/java/org/almondmount/workflow/TaskId.java
@@ -3,22 +3,22 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * One task of a job. Its text form is {@code job.occurrence.step.index}.
+ * Identifies a task of a job. Its text form is {@code job.occurrence.step.index}.
  *
  * @param job the job's identifier, without dots
- * @param occurrence which repetition of the job, from 0
- * @param step the step's number, from 0
- * @param index the task's number within its step, from 0
+ * @param occurrence the number of the job's occurrence, from 0
+ * @param step the number of the step, from 0
+ * @param index the number of the task within its step, from 0
  */
 public record TaskId(String job, int occurrence, int step, int index) {
 
 	private static final int PART_COUNT = 4;
 
 	/**
-	 * Reads the text form.
-	 * @param text the text
-	 * @return the task
-	 * @throws InvalidValueException where the text names no task
+	 * Parses the text form.
+	 * @param text the text form of a task identifier
+	 * @return the task identifier
+	 * @throws InvalidValueException if the text is not a valid task identifier
 	 */
 	public static TaskId parse(String text) {
 		String[] parts = text.split("\\.", -1);
--- a/core/src/main/java/org/almondmount/workflow/WorkOutcome.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkOutcome.java
@@ -1,45 +1,45 @@
 package org.almondmount.workflow;
 
 /**
- * What became of the work of a run: it was kept, or lost for a reason. Work is measured
- * in core-seconds, an accelerator counting for several cores.
+ * Categories for the accounting of a run's work: it was kept, or lost for a reason. Work
+ * is counted in core-seconds; an accelerator counts for several cores.
  */
 public enum WorkOutcome {
 
-	/** It is done, or saved in a checkpoint from which the task goes on. */
+	/** The work is done, or saved in a checkpoint from which the task resumes. */
 	KEPT,
 
-	/** The job's caller cancelled it. */
+	/** The caller cancelled the job. */
 	CANCELLED,
 
-	/** Another task of the job failed for good. */
+	/** Another task of the job failed permanently. */
 	JOB_FAILED,
 
-	/** Its worker left at notice. */
+	/** The worker of the run left after a drain notice. */
 	WORKER_LEFT,
 
-	/** Its worker, or the process beside it, is gone without notice. */
+	/** The worker, or the target beside it, was lost without notice. */
 	WORKER_LOST,
 
-	/** It made room for more urgent work. */
+	/** The run was preempted by more urgent work. */
 	GAVE_WAY,
 
-	/** It held its room and waited for other members of its gang. */
+	/** The run held its resources while it waited for other members of its gang. */
 	GANG_WAITED,
 
-	/** Another member of its gang ended, and nothing more is known. */
+	/** Another member of the gang ended, for an unknown reason. */
 	GANG_BROKEN,
 
-	/** The lease beside its worker ran out. */
+	/** The lease of the target beside the worker expired. */
 	LEASE_LAPSED,
 
-	/** The task failed. */
+	/** The run failed. */
 	FAILED_TRY,
 
-	/** It made no progress and was stopped. */
+	/** The run made no progress and was stopped. */
 	STOOD_STILL,
 
-	/** An earlier term ordered it, and its worker did not run it. */
+	/** An earlier term commanded the run, but the worker did not run it. */
 	UNSETTLED
 
 }
--- a/core/src/main/java/org/almondmount/workflow/WorkerDescription.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkerDescription.java
@@ -3,15 +3,16 @@
 import java.util.Set;
 
 /**
- * What a worker says of itself. Immutable.
+ * The properties that a worker reports about itself. Immutable.
  *
- * @param incarnation the worker and its life
- * @param pool the pool that it belongs to
- * @param zone its availability zone
- * @param labels its kind and its rack
- * @param capacity what it has
- * @param draining whether it is about to leave and takes nothing more
- * @param remainingMillis the time that is surely left while it drains
+ * @param incarnation the worker and its incarnation
+ * @param pool the pool that the worker belongs to
+ * @param zone the availability zone of the worker
+ * @param labels the labels that name the worker's kind and rack
+ * @param capacity the total resources of the worker
+ * @param draining whether the worker is about to leave and accepts no new runs
+ * @param remainingMillis the time that a draining worker is certain to stay, in
+ * milliseconds
  */
 public record WorkerDescription(WorkerIncarnation incarnation, String pool, String zone, Set<String> labels,
 		ResourceAmount capacity, boolean draining, long remainingMillis) {
@@ -23,8 +24,8 @@
 	}
 
 	/**
-	 * The rack: the label that names one, such as {@code r1-3}.
-	 * @return the rack, or the worker's own identifier where no label names one
+	 * Returns the rack of the worker, taken from a label such as {@code r1-3}.
+	 * @return the rack, or the worker's identifier if no label names a rack
 	 */
 	public String rack() {
 		for (String label : this.labels) {
--- a/core/src/main/java/org/almondmount/workflow/WorkerIncarnation.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkerIncarnation.java
@@ -1,11 +1,11 @@
 package org.almondmount.workflow;
 
 /**
- * One life of a worker: it ends with a crash or a restart, and what ran in it ends with
- * it.
+ * One incarnation of a worker process. It ends with a crash or a restart, and all its
+ * runs end with it.
  *
- * @param worker the worker's identifier, which may come back after a restart
- * @param startedAtMillis when this life began, in milliseconds since 1970
+ * @param worker the identifier of the worker, which may be the same after a restart
+ * @param startedAtMillis when this incarnation started, in milliseconds since 1970
  */
 public record WorkerIncarnation(String worker, long startedAtMillis) {
 
--- a/core/src/main/java/org/almondmount/workflow/WorkerReport.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkerReport.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * What the process beside a worker tells of it. Immutable.
+ * The state of a worker as reported by the target beside it. Immutable.
  *
- * @param target the name of that process
- * @param worker what the worker says of itself
- * @param epoch the highest epoch that the worker obeys
- * @param running what runs
- * @param ended what ended and was not acknowledged
- * @param crashed what was at work in former lives that ended without notice; told for a
- * while, so that the next holder hears of it too
+ * @param target the name of the target
+ * @param worker the properties of the worker
+ * @param epoch the highest epoch that the worker has seen; it ignores commands of lower
+ * epochs
+ * @param running the runs that are active
+ * @param ended the runs that have ended and are not acknowledged yet
+ * @param crashed the runs that were active in earlier incarnations that ended without
+ * notice; they are reported for a while so that the next holder learns of them too
  */
 public record WorkerReport(String target, WorkerDescription worker, long epoch, List<Running> running,
 		List<Ended> ended, List<Crashed> crashed) {
@@ -27,12 +28,12 @@
 	}
 
 	/**
-	 * A run that is there.
+	 * An active run.
 	 *
 	 * @param task the task
-	 * @param run the run's number
-	 * @param checkpoint its last checkpoint, or empty
-	 * @param progressPercent how far it is
+	 * @param run the number of the run
+	 * @param checkpoint the last checkpoint of the run, or empty
+	 * @param progressPercent the progress of the run, in percent
 	 */
 	public record Running(TaskId task, int run, String checkpoint, int progressPercent) {
 	}
@@ -40,23 +41,23 @@
 	/**
 	 * A run that ended.
 	 *
-	 * @param sequence counts the ends of one life of the worker
+	 * @param sequence the sequence number of this end within the worker's incarnation
 	 * @param task the task
-	 * @param run the run's number
-	 * @param outcome how it ended
-	 * @param checkpoint its last checkpoint, or empty
+	 * @param run the number of the run
+	 * @param outcome how the run ended
+	 * @param checkpoint the last checkpoint of the run, or empty
 	 */
 	public record Ended(long sequence, TaskId task, int run, RunOutcome outcome, String checkpoint) {
 	}
 
 	/**
-	 * A run that was at work when its worker ended without notice.
+	 * A run that was active when its worker ended without notice.
 	 *
-	 * @param incarnation the life of the worker that ended
+	 * @param incarnation the incarnation of the worker that ended
 	 * @param task the task
-	 * @param run the run's number
-	 * @param observedRunMillis how long it was at work at least, in milliseconds: from
-	 * the answer to its start to the worker's last answer
+	 * @param run the number of the run
+	 * @param observedRunMillis a lower bound of how long the run was active, in
+	 * milliseconds: from the answer to its start command to the worker's last answer
 	 */
 	public record Crashed(WorkerIncarnation incarnation, TaskId task, int run, long observedRunMillis) {
 	}
--- a/core/src/main/java/org/almondmount/workflow/Workflow.java
+++ b/core/src/main/java/org/almondmount/workflow/Workflow.java
@@ -5,22 +5,24 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * A job as its caller handed it in. Immutable.
+ * A job as submitted by its caller. Immutable.
  *
- * @param id chosen by the caller; the same identifier is the same job
- * @param queue the name of its queue
- * @param customer whose job it is, or empty where the queue takes anonymous ones
- * @param program what each task is told to run
- * @param steps its steps; {@code after} refers to the numbers of earlier ones
- * @param schedule when its occurrences are due
- * @param acceptedAtMillis when it was accepted, in milliseconds since 1970
+ * @param id the identifier chosen by the caller; a job with the same identifier is the
+ * same job
+ * @param queue the name of the queue
+ * @param customer the customer that owns the job, or empty for an anonymous job
+ * @param program the program that each task runs
+ * @param steps the steps; a step may only depend on earlier ones
+ * @param schedule when the occurrences of the job are due
+ * @param acceptedAtMillis when the job was accepted, in milliseconds since 1970
  */
 public record Workflow(String id, String queue, String customer, String program, List<Step> steps, Schedule schedule,
 		long acceptedAtMillis) {
 
 	/**
-	 * Tasks of one job, over all occurrences. Its progress is kept as one row of 64 KB,
-	 * which a job of so many tasks fills, compressed, to about nine tenths.
+	 * The maximum number of tasks of one job over all occurrences. The progress of a job
+	 * is stored in one row of 64 KB, which this many tasks fill to about nine tenths
+	 * after compression.
 	 */
 	public static final int MAX_TASKS = 2_500;
 
@@ -49,15 +51,16 @@
 	}
 
 	/**
-	 * When the occurrences of a job are due.
+	 * The due times of a job's occurrences.
 	 *
-	 * @param firstDueMillis when the first one is due, in milliseconds since 1970
-	 * @param intervalMillis time between two
-	 * @param repetitions how many there are, 0 for a job that runs once and at once
+	 * @param firstDueMillis when the first occurrence is due, in milliseconds since 1970
+	 * @param intervalMillis the time between two occurrences
+	 * @param repetitions the number of occurrences, 0 for a job that runs once and
+	 * immediately
 	 */
 	public record Schedule(long firstDueMillis, long intervalMillis, int repetitions) {
 
-		/** Once and at once. */
+		/** Runs the job once and immediately. */
 		public static final Schedule ONCE = new Schedule(0, 0, 0);
 
 		public boolean hasDueTimes() {
@@ -69,9 +72,9 @@
 		}
 
 		/**
-		 * When an occurrence is due.
-		 * @param occurrence its number, from 0
-		 * @return milliseconds since 1970, 0 for a job without times
+		 * Returns when an occurrence is due.
+		 * @param occurrence the number of the occurrence, from 0
+		 * @return milliseconds since 1970, 0 for a job without due times
 		 */
 		public long dueAtMillis(int occurrence) {
 			return hasDueTimes() ? this.firstDueMillis + occurrence * this.intervalMillis : 0;
--- a/core/src/main/java/org/almondmount/workflow/WorkflowCommand.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkflowCommand.java
@@ -3,69 +3,73 @@
 import java.util.List;
 
 /**
- * Everything that the workflow scheduler asks its driver to do, in order.
+ * The commands of the workflow scheduler, which its driver carries out in order.
  */
 public sealed interface WorkflowCommand {
 
 	/**
-	 * Keep these records in one transaction that holds only under the term's epoch;
-	 * answer with {@link WorkflowEvent.Persisted}. At most one is outstanding.
+	 * Stores records in one transaction that commits only under the epoch of the term.
+	 * The driver answers with {@link WorkflowEvent.Persisted}. At most one such command
+	 * is outstanding.
 	 */
 	record Persist(long sequence, List<JobRecord> records) implements WorkflowCommand {
 	}
 
 	/**
-	 * Begin a run.
+	 * Starts a run.
 	 *
-	 * @param target the process beside the worker
-	 * @param incarnation the life of the worker that is meant
+	 * @param target the name of the target beside the worker
+	 * @param incarnation the incarnation of the worker that has to run it
 	 * @param task the task
-	 * @param run the run's number
-	 * @param program what to run
-	 * @param checkpoint where to go on, or empty
-	 * @param capacity the worker's capacity by which it was chosen; a worker that has
-	 * less by now must not begin the run
+	 * @param run the number of the run
+	 * @param program the program to run
+	 * @param checkpoint the checkpoint to resume from, or empty
+	 * @param capacity the capacity of the worker that the placement was based on; a
+	 * worker that has less by now must not start the run
 	 */
 	record StartRun(String target, WorkerIncarnation incarnation, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements WorkflowCommand {
 	}
 
-	/** End a run, or make sure that it never begins. */
+	/** Stops a run, or ensures that it never starts. */
 	record StopRun(String target, WorkerIncarnation incarnation, TaskId task, int run) implements WorkflowCommand {
 	}
 
-	/** Ends up to that number are kept and may be forgotten. */
+	/**
+	 * Acknowledges the ends up to a sequence number: they are stored, and the worker may
+	 * discard them.
+	 */
 	record AcknowledgeEnds(String target, WorkerIncarnation incarnation, long upToSequence) implements WorkflowCommand {
 	}
 
 	/**
-	 * Nobody asks for these jobs any more: remove all that is kept of them and answer
-	 * with {@link WorkflowEvent.JobsDeleted}.
+	 * Deletes all stored data of jobs whose status no caller can query any more. The
+	 * driver answers with {@link WorkflowEvent.JobsDeleted}.
 	 */
 	record DeleteJobs(List<String> jobs) implements WorkflowCommand {
 	}
 
 	/**
-	 * Count work of a run that is over.
+	 * Accounts for the work of a run that has ended.
 	 *
-	 * @param outcome what became of it
-	 * @param coreSeconds how much it was
+	 * @param outcome the category of the work
+	 * @param coreSeconds the amount of work, in core-seconds
 	 */
 	record AccountWork(WorkOutcome outcome, double coreSeconds) implements WorkflowCommand {
 	}
 
-	/** Count a job that is given up. */
+	/** Counts a failed job. */
 	record CountFailure(JobFailure failure) implements WorkflowCommand {
 	}
 
-	/** The cancelling of a job is kept. */
+	/** Confirms that the cancellation of a job is stored. */
 	record CancellationPersisted(String job) implements WorkflowCommand {
 	}
 
 	/**
-	 * A decision that an administrator may want to read later.
+	 * Logs a decision for administrators.
 	 *
-	 * @param event the event's name, a constant
+	 * @param event the constant name of the log event
 	 * @param keysAndValues alternating keys and values
 	 */
 	record LogDecision(String event, List<Object> keysAndValues) implements WorkflowCommand {
--- a/core/src/main/java/org/almondmount/workflow/WorkflowEvent.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkflowEvent.java
@@ -5,61 +5,64 @@
 import java.util.Set;
 
 /**
- * Everything that the workflow scheduler is told. Immutable; the time is passed beside
- * it.
+ * The input events of the workflow scheduler. Immutable; the time of an event is passed
+ * separately.
  */
 public sealed interface WorkflowEvent {
 
 	/**
-	 * This process may decide from now on.
+	 * A term of this process began; it may make decisions from now on.
 	 *
-	 * @param epoch the epoch of its term
-	 * @param jobs every job that is kept
+	 * @param epoch the epoch of the term
+	 * @param jobs all stored jobs
 	 */
 	record TermBegan(long epoch, List<StoredJob> jobs) implements WorkflowEvent {
 	}
 
-	/** This process may no longer decide; all that is in memory is void. */
+	/**
+	 * The term of this process ended; it may make no more decisions, and its state in
+	 * memory is invalid.
+	 */
 	record TermEnded() implements WorkflowEvent {
 	}
 
-	/** Queues and customers, whole. */
+	/** The configuration of queues and customers changed; carries all of it. */
 	record ConfigurationChanged(FleetConfiguration configuration) implements WorkflowEvent {
 	}
 
-	/** The zones that operators have taken out, whole. */
+	/** The set of zones that operators have taken out changed; carries all of them. */
 	record ZonesOutChanged(Set<String> zones) implements WorkflowEvent {
 	}
 
-	/** A job was accepted and is kept. A repeat is harmless. */
+	/** A job was accepted and stored. Repeated events have no effect. */
 	record JobAccepted(Workflow job) implements WorkflowEvent {
 	}
 
-	/** The caller wants the job gone. */
+	/** The caller requested the cancellation of a job. */
 	record CancelRequested(String job) implements WorkflowEvent {
 	}
 
-	/** A worker was looked at. */
+	/** A target reported the state of its worker. */
 	record WorkerReported(WorkerReport report) implements WorkflowEvent {
 	}
 
-	/** The process beside a worker was heard and holds a lease from now on. */
+	/** The target beside a worker sent a heartbeat and holds a lease from now on. */
 	record WorkerHeartbeat(String target) implements WorkflowEvent {
 	}
 
-	/** A run was not begun on that worker and never will be. */
+	/** The worker did not start a run and never will. */
 	record RunRefused(String target, TaskId task, int run, String reason) implements WorkflowEvent {
 	}
 
-	/** What was asked to be kept is kept. */
+	/** The records of a {@link WorkflowCommand.Persist} command are stored. */
 	record Persisted(long sequence) implements WorkflowEvent {
 	}
 
-	/** Nothing is kept of these jobs any more. */
+	/** All stored data of the jobs is deleted. */
 	record JobsDeleted(List<String> jobs) implements WorkflowEvent {
 	}
 
-	/** Waiting work is to be placed now; nothing else places it. */
+	/** A placement round is due. Waiting work is placed on this event only. */
 	record PlacementDue() implements WorkflowEvent {
 	}
 
@@ -68,11 +71,11 @@
 	}
 
 	/**
-	 * A job with what is kept of its progress.
+	 * A job with its stored progress.
 	 *
 	 * @param job the job
-	 * @param progress what is kept, empty for a job on which nothing was done
-	 * @param cancelled whether its caller wants it gone
+	 * @param progress the stored progress, empty for a job without any
+	 * @param cancelled whether the caller requested the cancellation of the job
 	 */
 	record StoredJob(Workflow job, Optional<JobRecord> progress, boolean cancelled) {
 	}
--- a/core/src/main/java/org/almondmount/workflow/WorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/WorkflowScheduler.java
@@ -4,45 +4,46 @@
 import java.util.Optional;
 
 /**
- * The entrance to the decisions about workflows. Deterministic; not thread-safe: one duty
- * owns it.
+ * Schedules the tasks of workflows. Deterministic; not thread-safe, so only one thread
+ * may use an instance.
  */
 public interface WorkflowScheduler {
 
 	/**
-	 * Takes one event.
-	 * @param now the driver's clocks
-	 * @param event what happened
-	 * @return what is to be done, in order
+	 * Handles one event.
+	 * @param now the time of the event
+	 * @param event the event
+	 * @return the commands to carry out, in order
 	 */
 	List<WorkflowCommand> handle(ClockReading now, WorkflowEvent event);
 
 	/**
-	 * Where a job stands, as it is kept.
-	 * @param job the job
-	 * @return its phase, or empty for a job that is not known here
+	 * Returns the stored phase of a job.
+	 * @param job the identifier of the job
+	 * @return the phase, or empty for an unknown job
 	 */
 	Optional<JobPhase> phase(String job);
 
 	/**
-	 * Why a job was given up.
-	 * @param job the job
-	 * @return the reason and its remedy, or empty where it was not or is not known here
+	 * Returns why a job failed.
+	 * @param job the identifier of the job
+	 * @return the reason and the remedy, or empty if the job has not failed or is unknown
 	 */
 	Optional<String> failureMessage(String job);
 
 	/**
-	 * Jobs of a queue none of whose tasks has started.
-	 * @param queue the queue's name
-	 * @return a count
+	 * Returns the number of jobs of a queue of which no task has started.
+	 * @param queue the name of the queue
+	 * @return the number of jobs
 	 */
 	int queuedJobCount(String queue);
 
 	/**
-	 * The driver's clocks at one moment.
+	 * The readings of the driver's clocks at one moment.
 	 *
-	 * @param steadyMillis a clock that never jumps
-	 * @param wallMillis milliseconds since 1970, for due times alone
+	 * @param steadyMillis the time on a monotonic clock, in milliseconds
+	 * @param wallMillis the wall-clock time in milliseconds since 1970, used for due
+	 * times only
 	 */
 	record ClockReading(long steadyMillis, long wallMillis) {
 	}
--- a/core/src/main/java/org/almondmount/workflow/package-info.java
+++ b/core/src/main/java/org/almondmount/workflow/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Jobs made of steps, and the decisions about where and when their tasks run. No I/O: the
- * root holds what a driver meets, {@code impl} the decisions themselves.
+ * Jobs that consist of steps, and the scheduling of their tasks. Performs no I/O: this
+ * package contains the interface for the driver, and {@code impl} the implementation.
  */
 package org.almondmount.workflow;
--- a/core/src/test/java/org/almondmount/workflow/CheckpointPersistenceTests.java
+++ b/core/src/test/java/org/almondmount/workflow/CheckpointPersistenceTests.java
@@ -10,10 +10,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * All VMs lose power at once. A caller sees its job of twenty seconds begin anew, though
- * its worker had saved it each second: the checkpoint was known to the worker and to the
- * holder alone, and both forgot it. So it has to be in the store soon after it was heard
- * of, and a run that is chosen later goes on from there.
+ * Guards against a job of twenty seconds that starts over after all VMs lost power at
+ * once, although its worker had saved a checkpoint each second: only the worker and the
+ * holder knew the checkpoint, and both lost it. It therefore has to be stored soon after
+ * it is reported, and a later run has to resume from it.
  */
 class CheckpointPersistenceTests extends SchedulerFixture {
 
--- a/core/src/test/java/org/almondmount/workflow/CrashSuspectTests.java
+++ b/core/src/test/java/org/almondmount/workflow/CrashSuspectTests.java
@@ -8,7 +8,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tasks under which workers crashed.
+ * Scheduling of suspects: tasks during whose runs workers crashed.
  */
 class CrashSuspectTests extends SchedulerFixture {
 
@@ -18,7 +18,7 @@
 
 	private long startedAtMillis = 1;
 
-	// Guards against a crash that is counted again with each report that tells of it.
+	// Guards against counting a crash again with each report that contains it.
 	@Test
 	void repeatedlyReportedCrashCountsOnce() {
 		beginTerm(1);
@@ -29,7 +29,8 @@
 		assertThat(afterRepeat).noneMatch((command) -> logsDecision(command, "task-crashed-worker"));
 	}
 
-	// Guards against a suspect that takes other jobs' work down with its next worker.
+	// Guards against a suspect that is restarted beside other jobs' runs, which are lost
+	// if it crashes the worker again.
 	@Test
 	void suspectIsStartedOnAnIdleWorker() {
 		beginTerm(2);
@@ -44,7 +45,8 @@
 		assertThat(next).extracting(WorkflowCommand.StartRun::target).containsExactlyInAnyOrder("t0", "t1");
 	}
 
-	// Guards against work that is placed beside a suspect and goes down with it.
+	// Guards against placing other runs beside a suspect, which are lost if it crashes
+	// the worker again.
 	@Test
 	void nothingStartsBesideASuspectUntilItOutlastsItsCrashes() {
 		beginTerm(1);
@@ -57,7 +59,7 @@
 		assertThat(reportRunning(0, restart)).hasSize(1);
 	}
 
-	// Guards against a suspect that waits for ever on a fleet without an idle worker.
+	// Guards against a suspect that never starts on a fleet without an idle worker.
 	@Test
 	void suspectDoesNotWaitForeverForAnIdleWorker() {
 		beginTerm(1);
@@ -72,7 +74,7 @@
 		assertThat(reportRunning(0, other)).hasSize(1);
 	}
 
-	// Guards against a service that is given up for the crashes of a long life.
+	// Guards against failing a service for crashes that are spread over a long run time.
 	@Test
 	void longRunningTaskIsNoSuspectAfterALongRun() {
 		beginTerm(1);
--- a/core/src/test/java/org/almondmount/workflow/DrainingWorkerTests.java
+++ b/core/src/test/java/org/almondmount/workflow/DrainingWorkerTests.java
@@ -11,9 +11,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A worker says that it leaves in some seconds. What can't be done by then and saves
- * nothing runs on for its caller in vain: at the end it is lost, with the whole gang, and
- * begins anew that much later. What will be done is left alone.
+ * Runs on a worker that announces that it leaves in a few seconds. A run that cannot
+ * finish by then and saves no checkpoints has to be stopped at once: otherwise it is lost
+ * with its whole gang when the worker leaves, and starts over that much later. A run that
+ * will finish in time continues.
  */
 class DrainingWorkerTests extends SchedulerFixture {
 
@@ -57,8 +58,9 @@
 		assertThat(stops).extracting(StopRun::target).containsExactly(starts.get(0).target(), starts.get(1).target());
 	}
 
-	// The run was under way when this term began. Taken from the time since then, half of
-	// the work would look like a second's.
+	// The run was already active when this term began. A speed computed from its progress
+	// and the time since then would be too high, because half of the work was done
+	// before.
 	@Test
 	void runStartedInAnEarlierTermIsEstimatedByItsOwnSpeed() {
 		beginTerm(1);
--- a/core/src/test/java/org/almondmount/workflow/GuaranteedGangTests.java
+++ b/core/src/test/java/org/almondmount/workflow/GuaranteedGangTests.java
@@ -8,13 +8,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A guaranteed gang that is slow across racks finds the fleet full.
+ * Preemption for a guaranteed gang that is slow across racks, on a full fleet.
  */
 class GuaranteedGangTests extends SchedulerFixture {
 
-	// One rack is full of a gang that has run for long and saves nothing; on a worker of
-	// each of two other racks something has just begun. The gang of two could have the
-	// first rack, and the callers of ten times its work would wait for all of it anew.
+	// One rack is occupied by a gang that has run for a long time without checkpoints; in
+	// each of two other racks a run has just started on one worker. Preempting the first
+	// rack for the gang of two would lose ten times the work of that gang.
 	@Test
 	void doesNotPreemptARackWhoseWorkCostsManyTimesItsOwn() {
 		beginTermInFirstRack(2);
--- a/core/src/test/java/org/almondmount/workflow/InheritedRunsTests.java
+++ b/core/src/test/java/org/almondmount/workflow/InheritedRunsTests.java
@@ -15,14 +15,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a new holder does with runs that an earlier one ordered.
+ * Handling of runs that were started by an earlier holder.
  */
 class InheritedRunsTests extends SchedulerFixture {
 
 	private static final int RUN_NUMBER = 1;
 
-	// Guards against runs that go on after their job is over because the holder that
-	// ordered them to stop lost the term before the order arrived.
+	// Guards against runs that continue after their job has ended because the holder that
+	// stopped them lost the term before its stop command arrived.
 	@ParameterizedTest
 	@EnumSource(names = { "CANCELLED", "FAILED" })
 	void runsOfAnEndedJobAreStopped(JobPhase phase) {
@@ -31,7 +31,8 @@
 		assertThat(stopsAfterReport(0, 1)).extracting((stop) -> stop.task().index()).containsOnly(0, 1);
 	}
 
-	// Guards against a run of a job that is over on a worker that is heard of late.
+	// Guards against a run of an ended job that continues because its worker reports
+	// late.
 	@Test
 	void stopIsSentAgainOnceTheWorkerReports() {
 		Workflow job = job("a", 2, step(1, 1));
@@ -42,8 +43,8 @@
 		assertThat(stopsAfterReport(0)).isNotEmpty();
 	}
 
-	// Guards against jobs that fail because their new holder has not read yet how many
-	// attempts their queue allows.
+	// Guards against failing a job because the new holder has not yet read how many
+	// attempts its queue allows.
 	@Test
 	void failureBeforeTheQueueIsKnownCountsOnceItIs() {
 		Workflow job = new Workflow("a", "later", "c", "p", List.of(step(1, 1)), Workflow.Schedule.ONCE, this.now);
@@ -55,8 +56,8 @@
 		assertThat(phase("a")).contains(JobPhase.FAILED);
 	}
 
-	// Guards against a task that is begun once more than its queue allows, because its
-	// last failure was kept by a holder that did not know the queue.
+	// Guards against starting a task once more than its queue allows because its last
+	// failure was stored by a holder that did not know the queue.
 	@Test
 	void jobWithoutAttemptsLeftIsNotStartedByTheNextHolder() {
 		beginTerm(1);
@@ -72,8 +73,8 @@
 		assertThat(phase("a")).contains(JobPhase.FAILED);
 	}
 
-	// Guards against a task that is begun once more than a new configuration allows,
-	// after its last run was lost.
+	// Guards against starting a task once more than a new configuration allows after its
+	// last run was lost.
 	@Test
 	void taskWithoutAttemptsLeftIsNotRestartedAfterItsRunIsLost() {
 		beginTerm(1);
@@ -91,8 +92,8 @@
 		assertThat(phase("a")).contains(JobPhase.FAILED);
 	}
 
-	// Guards against a crash that no holder counts, because another job names the later
-	// life of the worker.
+	// Guards against a crash that no holder counts because another job already refers to
+	// the later incarnation of the worker.
 	@Test
 	void runOfAnEarlierIncarnationIsLostAlthoughALaterOneIsKnown() {
 		beginTerm(1);
@@ -113,8 +114,8 @@
 			.containsExactly(new WorkerIncarnation("w0", 1));
 	}
 
-	// Guards against a crash that no holder counts, because the run was kept under the
-	// worker's later life while it was being settled there.
+	// Guards against a crash that no holder counts because the run was stored under the
+	// later incarnation of the worker while the stop command for it was outstanding.
 	@Test
 	void runIsStoredUnderTheIncarnationThatMayHaveStartedIt() {
 		beginTerm(2);
@@ -138,8 +139,8 @@
 			.containsExactly(new WorkerIncarnation("w0", 1));
 	}
 
-	// Guards against a run that is stopped because a new configuration allows fewer
-	// attempts than it took to begin it.
+	// Guards against stopping a run because a new configuration allows fewer attempts
+	// than had been made when it started.
 	@Test
 	void runStartedWithinItsAttemptsMayFinish() {
 		beginTerm(1);
@@ -158,7 +159,8 @@
 		assertThat(stopsAfterReport(0, 1)).isEmpty();
 	}
 
-	// Guards against members that hold their room for a gang that is never whole again.
+	// Guards against members that occupy resources for a gang that can never be complete
+	// again.
 	@Test
 	void remainingMembersOfAGangThatLostAMemberAreStopped() {
 		Workflow job = job("a", 2, gangStep(2, 1));
@@ -166,7 +168,7 @@
 		assertThat(stopsAfterReport(0)).extracting((stop) -> stop.task().index()).containsOnly(0);
 	}
 
-	// Guards against a member that is stopped, and counts as lost, though its gang is
+	// Guards against a member that is stopped, and counted as lost, although its gang is
 	// done.
 	@Test
 	void remainingMembersOfACompletedGangMayFinish() {
@@ -175,8 +177,8 @@
 		assertThat(stopsAfterReport(0)).isEmpty();
 	}
 
-	// Guards against a gang that fails too early because members of one run are counted
-	// under two holders.
+	// Guards against a gang that fails too early because the failures of members of one
+	// run are counted by two holders.
 	@Test
 	void failedGangRunCountsOnceUnderTwoHolders() {
 		beginTerm(1);
@@ -206,7 +208,8 @@
 	}
 
 	/**
-	 * What is kept of a job whose only task was begun in a life of the first worker.
+	 * Returns the stored progress of a job whose only task was started in the given
+	 * incarnation of the first worker.
 	 */
 	private static JobRecord storedRunningJob(String job, long startedAtMillis) {
 		OpenRun open = new OpenRun(RUN_NUMBER, "t0", description(0, startedAtMillis, false).incarnation(), 1);
@@ -221,7 +224,7 @@
 	}
 
 	/**
-	 * Has the worker tell that the tasks run, then lets the time of a repetition pass.
+	 * Reports the tasks as running, then advances the time until commands are repeated.
 	 */
 	private List<WorkflowCommand.StopRun> stopsAfterReport(int... tasks) {
 		List<WorkerReport.Running> running = new ArrayList<>();
--- a/core/src/test/java/org/almondmount/workflow/PlacementRateLimiterTests.java
+++ b/core/src/test/java/org/almondmount/workflow/PlacementRateLimiterTests.java
@@ -25,8 +25,9 @@
 		assertThat(this.limiter.isDue(0)).isTrue();
 	}
 
-	// All power is back, and words of workers come faster than the holder can place after
-	// each. Half of its time is left for its term, whatever a round takes.
+	// After a power loss, workers report faster than the holder can run a round for each
+	// report. Half of the time must be left for renewing the term, whatever a round
+	// takes.
 	@Test
 	void slowRoundsTakeAtMostHalfOfTheTime() {
 		long placementMillis = 0;
--- a/core/src/test/java/org/almondmount/workflow/PlacementRulesTests.java
+++ b/core/src/test/java/org/almondmount/workflow/PlacementRulesTests.java
@@ -9,8 +9,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Where tasks may and should run, and what steps that last ask for. Three workers stand
- * in two racks; the third is of another kind.
+ * Placement constraints and preferences of tasks, and the requirements of long-running
+ * steps. Some tests use three workers in two racks, of which the third has another kind.
  */
 class PlacementRulesTests extends SchedulerFixture {
 
@@ -40,8 +40,8 @@
 			.containsExactlyInAnyOrder("t0", "t1", "t2");
 	}
 
-	// Spread over two racks the gang would take three times as long and hold its
-	// accelerators all the while. So it waits until one rack has room.
+	// Across two racks the gang would take three times as long and occupy its
+	// accelerators all the time, so it waits until one rack has enough capacity.
 	@Test
 	void gangThatIsFasterInOneRackWaitsForOne() {
 		reportThreeWorkers();
@@ -54,7 +54,8 @@
 		assertThat(starts).extracting(WorkflowCommand.StartRun::target).doesNotContain("t2");
 	}
 
-	// Its tasks run until the job is cancelled, and are restarted however often they end.
+	// Tasks of a long-running step run until the job is cancelled, and are restarted
+	// however often they end.
 	@Test
 	void longRunningTaskIsRestartedHoweverItEnds() {
 		beginTerm(1);
@@ -76,7 +77,8 @@
 		assertThat(phase("a")).contains(JobPhase.RUNNING);
 	}
 
-	// Its users would notice that tasks are away; what is less strict gives way instead.
+	// The users of the service would notice unavailable tasks, so work without such a
+	// limit is preempted instead.
 	@Test
 	void taskWithAnUnavailabilityLimitIsNotPreempted() {
 		beginTerm(1);
@@ -96,8 +98,8 @@
 		assertThat(startsAfterAccepting(job("fills", 2, idleCpuStep))).hasSize(3);
 	}
 
-	// A task beside it would make its response times too long, by an amount that nobody
-	// knows beforehand.
+	// A task that uses idle CPU time would increase the response times of a task on the
+	// same worker by an amount that is not known in advance.
 	@Test
 	void idleCpuTasksDoNotShareAWorkerWithLatencyBoundTasks() {
 		beginTerm(2);
@@ -128,9 +130,9 @@
 				new ServiceSpec(true, "image", latencyTargetMillis, idleCpuOnly, maxUnavailable));
 	}
 
-	// A gang as wide as the fleet waits for one run that will take long. Kept for it,
-	// three free workers of four would stand idle for as long, and the caller of a small
-	// job would see nothing begin though there is room for it many times over.
+	// A gang as wide as the fleet waits for one long run. Reserving the fleet for it
+	// would leave three of four workers idle all that time, and a small job would not
+	// start although the free capacity is many times what it needs.
 	@Test
 	void noCapacityIsReservedForAGangWhileMostOfTheFleetIsIdle() {
 		beginTerm(4);
--- a/core/src/test/java/org/almondmount/workflow/SchedulerFixture.java
+++ b/core/src/test/java/org/almondmount/workflow/SchedulerFixture.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * A scheduler with three queues of priorities 0 to 2, workers of eight accelerators and
- * two customers with a guarantee of eight each; whatever it asks to be kept is kept at
- * once where a helper says so.
+ * A scheduler with three queues of priorities 0 to 2, workers with eight accelerators and
+ * two customers with a guarantee of eight accelerators each. Methods whose names contain
+ * "persist" confirm the scheduler's {@code Persist} commands immediately.
  */
 abstract class SchedulerFixture {
 
 	static final ResourceAmount CAPACITY = new ResourceAmount(128_000, 524_288, 8);
 
-	/** After which a holder takes the workers that it knows for the whole fleet. */
+	/** The time after which a new holder assumes that it knows all workers. */
 	private static final long FLEET_DISCOVERY_MILLIS = 1_000;
 
 	private final WorkflowScheduler scheduler = new DefaultWorkflowScheduler(SchedulerPolicy.DEFAULT);
@@ -70,7 +70,8 @@
 	}
 
 	/**
-	 * Lets half a second pass, after which the first worker tells how far two runs are.
+	 * Advances the time by half a second and reports the progress of two runs on the
+	 * first worker.
 	 */
 	List<WorkflowCommand> reportProgress(List<WorkflowCommand.StartRun> starts, int firstPercent, int secondPercent) {
 		this.now += 500;
@@ -146,8 +147,8 @@
 	}
 
 	/**
-	 * Feeds an event and has waiting work placed, as a driver does that has time; a mere
-	 * sign of life changes nothing that a driver would place for.
+	 * Feeds an event followed by a placement round, like a driver that is not busy. A
+	 * heartbeat is not followed by a round, since it changes nothing for placement.
 	 */
 	List<WorkflowCommand> feed(WorkflowEvent event) {
 		List<WorkflowCommand> answer = new ArrayList<>(feedWithoutPlacement(event));
--- a/core/src/test/java/org/almondmount/workflow/UrgentBurstTests.java
+++ b/core/src/test/java/org/almondmount/workflow/UrgentBurstTests.java
@@ -10,14 +10,13 @@
 
 /**
  * Bursts of urgent jobs beyond their customers' guarantees, on a fleet that is full or
- * nearly so. Objectives are three times a job's estimate and a second.
+ * nearly full. The objective of a job is three times its estimate plus a second.
  */
 class UrgentBurstTests extends SchedulerFixture {
 
-	// A job wider than the fleet and one that fits wait for the same workers. The wide
-	// one
-	// came first, and would be late even if it got all of them. Placed by arrival, both
-	// callers get their results late.
+	// A job wider than the fleet and a job that fits wait for the same workers. The wide
+	// job arrived first and would be late even with all of them. Placement in order of
+	// arrival would make both jobs late.
 	@Test
 	void jobThatCannotBeInTimeDoesNotDelayTheNextOne() {
 		beginTerm(0);
@@ -30,8 +29,8 @@
 			.hasSize(2);
 	}
 
-	// The fleet is full of work that has just begun and has time. The caller of an urgent
-	// job would wait for all of it to end; those of the others lose a moment.
+	// The fleet is full of work that has just started and has slack. Without preemption
+	// the urgent job would wait until all of it ends; with it the other jobs lose little.
 	@Test
 	void recentlyStartedWorkWithSlackIsPreempted() {
 		beginTerm(2);
@@ -49,8 +48,8 @@
 		assertThat(stopsAfterAccepting(job("urgent", 0, step(4, 4)))).isEmpty();
 	}
 
-	// What runs will be done in half a second, and the caller of the urgent job can wait
-	// that long. Stopped now, the other caller would lose nearly all for nothing.
+	// The active runs will finish in half a second, and the urgent job can wait that
+	// long. Preempting them now would lose nearly all of their work for nothing.
 	@Test
 	void nothingIsPreemptedForAJobThatWillFindCapacityInTime() {
 		beginTerm(1);
@@ -62,9 +61,10 @@
 		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, step(1, 8)))).isEmpty();
 	}
 
-	// A new holder hears of the workers one after the other. The first one is full; the
-	// next, of which it hears a moment later, has room for the urgent job. Its caller
-	// waits that moment, and nobody else loses what has run.
+	// A new holder receives the reports of the workers one after the other. The first
+	// worker is full; the next one, which reports a moment later, has capacity for the
+	// urgent job. The job has to wait for that report instead of preempting the runs on
+	// the first.
 	@Test
 	void nothingIsPreemptedBeforeANewHolderKnowsTheFleet() {
 		List<WorkflowCommand.StartRun> starts = beginTermWithInheritedRunsAndAnUrgentJob();
@@ -87,8 +87,9 @@
 		assertThat(this.commands).filteredOn(WorkflowCommand.StopRun.class::isInstance).hasSize(2);
 	}
 
-	// The gang's two members are one piece of work. Counted once a member for each member
-	// it looked twice as dear as it is, and the urgent job waited for its end.
+	// The two members of the gang share their lost work. Counting the work of the whole
+	// gang for each member makes preemption look twice as expensive as it is, and the
+	// urgent job waits for the gang to end.
 	@Test
 	void lostWorkOfAGangCountsOnce() {
 		beginTerm(1);
@@ -98,8 +99,8 @@
 		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, estimatedStep(1, 8, 2_000, false)))).hasSize(2);
 	}
 
-	// The cheap small runs alone do not make room for it. Once the large one has to go
-	// there is no need for all of them to stop.
+	// Stopping the cheap small runs alone does not free enough capacity. Once the large
+	// run has to be stopped, not all of the small ones need to be.
 	@Test
 	void runIsNotPreemptedIfItsCapacityIsNotNeeded() {
 		beginTerm(1);
@@ -108,7 +109,7 @@
 		assertThat(stopsAfterAccepting(jobOf("nobody", "urgent", 0, step(1, 5)))).hasSize(2);
 	}
 
-	// What saves its progress loses a moment, whatever it has done so far.
+	// A run with checkpoints loses little, however much work it has done so far.
 	@Test
 	void workWithCheckpointsIsPreemptedFirst() {
 		beginTerm(2);
@@ -134,8 +135,8 @@
 		assertThat(stopsAfterAccepting(job("urgent", 0, step(4, 4)))).isEmpty();
 	}
 
-	// Three of four tasks would fit after a stop. The caller would still wait for the
-	// fourth, and what was stopped for the three had lost its work for nothing.
+	// Preemption would make room for three of the four tasks. The job would still wait
+	// for the fourth, so the work of the preempted runs would be lost for nothing.
 	@Test
 	void nothingIsPreemptedForAJobThatWouldFitOnlyInPart() {
 		beginTerm(2);
@@ -155,9 +156,8 @@
 		assertThat(stopsAfterAccepting(urgent)).isEmpty();
 	}
 
-	// Another customer's urgent work has filled the fleet beyond its own guarantee.
-	// Nothing
-	// less urgent is left to stop, and the guarantee has to be there all the same.
+	// Another customer's urgent work occupies the fleet beyond its own guarantee. There
+	// is no less urgent work to preempt, but the guarantee must still be met.
 	@Test
 	void guaranteeIsReclaimedFromUrgentWorkBeyondAnotherGuarantee() {
 		beginTerm(2);
@@ -165,7 +165,7 @@
 		assertThat(stopsAfterAccepting(job("mine", 0, step(2, 4)))).hasSize(2);
 	}
 
-	// What is of no use any more waits behind work of any priority that is.
+	// A job whose result is no longer useful waits behind useful work of any priority.
 	@Test
 	void expiredJobWaitsBehindLessUrgentWorkThatIsStillUseful() {
 		beginTerm(0);
@@ -177,7 +177,7 @@
 			.containsExactly("fresh");
 	}
 
-	// A stream of newer jobs would keep an old one waiting for ever.
+	// Guards against a stream of newer jobs that starves an old one.
 	@Test
 	void jobThatWaitedVeryLongIsPlacedFirstAgain() {
 		beginTerm(0);
@@ -189,7 +189,7 @@
 			.containsExactly("starved");
 	}
 
-	// A term begins that inherits a worker full of less urgent work, and an urgent job.
+	// Begins a term that inherits a worker full of less urgent work and an urgent job.
 	private List<WorkflowCommand.StartRun> beginTermWithInheritedRunsAndAnUrgentJob() {
 		beginTerm(1);
 		Workflow less = job("less", 2, step(2, 4));
--- a/core/src/test/java/org/almondmount/workflow/WorkAccountingTests.java
+++ b/core/src/test/java/org/almondmount/workflow/WorkAccountingTests.java
@@ -11,11 +11,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Each core-second of a run that is over counts once: as kept, or as lost for a reason.
+ * Each core-second of an ended run is counted once: as kept, or as lost for a reason.
  */
 class WorkAccountingTests extends SchedulerFixture {
 
-	/** A core and one accelerator, which counts for eight. */
+	/** One core and one accelerator, which counts for eight cores. */
 	private static final double CORES_PER_TASK = 9;
 
 	private static final double RUN_SECONDS = 5;
@@ -59,8 +59,8 @@
 		assertThat(coreSecondsByOutcome()).containsOnlyKeys(WorkOutcome.GAVE_WAY);
 	}
 
-	// The worker says at its end that it saved; only what came after the last checkpoint
-	// that was heard of would be lost.
+	// The report of the end contains a final checkpoint. Without it, the work since the
+	// last reported checkpoint would be counted as lost.
 	@Test
 	void workSavedInAFinalCheckpointIsCountedAsKept() {
 		beginTerm(1);
@@ -72,8 +72,8 @@
 		assertThat(coreSecondsByOutcome()).isEqualTo(Map.of(WorkOutcome.KEPT, CORES_PER_TASK * RUN_SECONDS));
 	}
 
-	// The other member comes two seconds late. Until then the first one holds its room
-	// for nothing; from then on both work.
+	// The other member starts two seconds late. Until then the first one occupies its
+	// resources without working; from then on both work.
 	@Test
 	void timeWaitingForTheGangIsCountedSeparately() {
 		beginTerm(2);
--- a/core/src/test/java/org/almondmount/workflow/WorkflowSchedulerTests.java
+++ b/core/src/test/java/org/almondmount/workflow/WorkflowSchedulerTests.java
@@ -12,8 +12,8 @@
 
 class WorkflowSchedulerTests extends SchedulerFixture {
 
-	// The run is written down before its order leaves. An order that left first would be
-	// unknown to the next holder, which would start the task a second time.
+	// The run is stored before its start command is sent. The next holder would not know
+	// of a command that was sent first, and would start the task a second time.
 	@Test
 	void runIsStoredBeforeItsStartCommandIsSent() {
 		beginTerm(1);
@@ -70,8 +70,8 @@
 		assertThat(phase("a")).contains(JobPhase.COMPLETED);
 	}
 
-	// Guards against ends that a worker lists for ever because their acknowledgement was
-	// lost on its way.
+	// Guards against ends that a worker reports forever because their acknowledgement was
+	// lost.
 	@Test
 	void endThatIsReportedAgainIsAcknowledgedAgain() {
 		beginTerm(1);
@@ -94,9 +94,10 @@
 		assertThat(phase("a")).contains(JobPhase.FAILED);
 	}
 
-	// The worker crashed and came back under its name. A call of its former life that
-	// begins the run may still be carried out there, so the run counts as over only after
-	// the order to stop it was answered; until then the task is not begun elsewhere.
+	// The worker crashed and restarted under the same identifier. A start call for its
+	// earlier incarnation may still take effect there, so the run counts as ended only
+	// after the stop command was answered; until then the task is not restarted
+	// elsewhere.
 	@Test
 	void runOfAnEarlierIncarnationIsStoppedBeforeItIsRestartedElsewhere() {
 		beginTerm(2);
@@ -128,7 +129,7 @@
 		assertThat(restarts).extracting(WorkflowCommand.StartRun::target).containsExactly(other);
 	}
 
-	// All accelerators are taken by less urgent work when a job of the guarantee comes.
+	// Less urgent work occupies all accelerators when a guaranteed job arrives.
 	@Test
 	void guaranteeIsReclaimedFromLessUrgentWork() {
 		beginTerm(1);
@@ -145,8 +146,8 @@
 			.hasSize(2);
 	}
 
-	// Each task of the step is a unit of its own. Cleared one after the other, the last
-	// of them would start after as many stops as there are tasks.
+	// Each task of the step is placed separately. If capacity were freed for one task
+	// after the other, the last task would start after as many stops as there are tasks.
 	@Test
 	void capacityForAllTasksOfAGuaranteedStepIsPreemptedAtOnce() {
 		beginTerm(1);
@@ -155,8 +156,8 @@
 		assertThat(urgent).filteredOn(WorkflowCommand.StopRun.class::isInstance).hasSize(6);
 	}
 
-	// Small work would take each accelerator that becomes free. What would not end before
-	// the waiting gang fits may not be placed where the gang will go.
+	// Small jobs would take each accelerator that becomes free. Work that would not end
+	// before the waiting gang fits must not be placed where the gang will be placed.
 	@Test
 	void smallJobsDoNotStarveAWaitingGang() {
 		beginTerm(1);
@@ -165,10 +166,9 @@
 		assertThat(startsAfterAccepting(job("small", 2, step(1, 1)))).isEmpty();
 	}
 
-	// Members of a gang end together. One that is done early waits at a hundred percent
-	// for
-	// the slowest; taken for a standstill, the whole gang was stopped shortly before its
-	// end and began anew, again and again.
+	// Members of a gang end together, so a member that is done early waits at 100 % for
+	// the slowest. Guards against treating it as stalled, which stops the whole gang
+	// shortly before its end and starts it over, again and again.
 	@Test
 	void memberAtFullProgressThatWaitsForOthersIsNotStalled() {
 		beginTerm(1);
@@ -213,8 +213,8 @@
 			.containsExactly(0);
 	}
 
-	// The next holder knows what may be at work from what is kept, adopts what the worker
-	// says that it runs and has the rest stopped before it begins it anew.
+	// A new holder reads from the store which runs may be active. It adopts the runs that
+	// the worker reports, and stops the others before it restarts their tasks.
 	@Test
 	void newTermAdoptsReportedRunsAndStopsTheOthers() {
 		JobRecord.OpenRun open = new JobRecord.OpenRun(1, "t0", new WorkerIncarnation("w0", 1), 1);
--- a/core/src/test/java/org/almondmount/workflow/WorkflowTests.java
+++ b/core/src/test/java/org/almondmount/workflow/WorkflowTests.java
@@ -9,8 +9,8 @@
 
 class WorkflowTests {
 
-	// Two steps that wait for each other never run, and whoever follows the chain of them
-	// never comes to its end.
+	// Two steps that depend on each other never run, and code that follows the chain of
+	// dependencies never terminates.
 	@Test
 	void stepDependingOnALaterStepIsRejected() {
 		assertThatThrownBy(
@@ -19,7 +19,7 @@
 			.hasMessageContaining("steps.0.after");
 	}
 
-	// One job with a million tasks would fill the memory of every entry that reads it.
+	// A job with a million tasks would fill the memory of every entry that reads it.
 	@Test
 	void jobWithMoreTasksThanCanBeStoredIsRejected() {
 		Step step = new Step(1_000, ResourceAmount.NONE, 1_000, List.of(), false, false, Step.Placement.ANYWHERE, false,
