--- a/core/src/main/java/org/almondmount/workflow/JobFailure.java
+++ b/core/src/main/java/org/almondmount/workflow/JobFailure.java
@@ -6,10 +6,11 @@
 public enum JobFailure {
 
 	/** A task or a gang used up the attempts that its queue allows. */
-	ATTEMPTS_USED_UP("a task failed as often as its queue allows", "see why it fails before it is handed in again"),
+	ATTEMPTS_USED_UP("a task used up the attempts that its queue allows",
+			"find out why it fails before submitting the job again"),
 
 	/** Workers crashed repeatedly while they ran the same task. */
-	WORKERS_CRASHED("workers crashed under task", "see what it does to its worker before it is handed in again");
+	WORKERS_CRASHED("workers crashed under task", "find out how it crashes them before submitting the job again");
 
 	private final String reason;
 
--- a/core/src/main/java/org/almondmount/workflow/Workflow.java
+++ b/core/src/main/java/org/almondmount/workflow/Workflow.java
@@ -36,8 +36,8 @@
 		}
 		long tasks = steps.stream().mapToLong(Step::taskCount).sum() * schedule.occurrences();
 		if (tasks > MAX_TASKS) {
-			throw new InvalidValueException("steps",
-					"have " + tasks + " tasks over all occurrences; give at most " + MAX_TASKS + " and several jobs");
+			throw new InvalidValueException("steps", "have " + tasks + " tasks over all occurrences; give at most "
+					+ MAX_TASKS + " per job and split the work into several jobs");
 		}
 	}
 
@@ -45,7 +45,7 @@
 		for (int dependency : dependencies) {
 			if (dependency < 0 || dependency >= number) {
 				throw new InvalidValueException("steps." + number + ".after",
-						"names step " + dependency + "; name only steps that stand before it");
+						"refers to step " + dependency + "; refer only to earlier steps");
 			}
 		}
 	}
