--- a/core/src/main/java/org/almondmount/jobs/impl/CapacityView.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/CapacityView.java
@@ -1,11 +1,11 @@
 package org.almondmount.jobs.impl;
 
 /**
- * Which part of a worker counts as room for a placement.
+ * The part of a worker's capacity that counts as available for a placement.
  */
 enum CapacityView {
 
-	/** What nobody has. */
+	/** Capacity that is not allocated. */
 	FREE {
 
 		@Override
@@ -26,7 +26,7 @@
 	},
 
 	/**
-	 * What nobody has and no owner is about to reclaim: for work that can be preempted.
+	 * Free capacity that is not held for the owner of a guarantee; for preemptible work.
 	 */
 	BORROWABLE {
 
@@ -47,7 +47,10 @@
 
 	},
 
-	/** What may be taken for good once preemptible work is gone. */
+	/**
+	 * Capacity outside guarantees, counting all preemptible work as evicted; for
+	 * protected work.
+	 */
 	RECLAIMABLE {
 
 		@Override
@@ -69,7 +72,9 @@
 
 	},
 
-	/** What may be taken for a while once preemptible work is gone. */
+	/**
+	 * Capacity that is not held, counting all preemptible work as evicted; for borrowers.
+	 */
 	EVICTABLE {
 
 		@Override
@@ -91,7 +96,9 @@
 
 	},
 
-	/** What may be taken for a while once everything that can move has moved. */
+	/**
+	 * Capacity that is not held, counting all work that can move as moved; for borrowers.
+	 */
 	MOVABLE {
 
 		@Override
@@ -113,7 +120,9 @@
 
 	},
 
-	/** What nobody has and no guarantee needs: for work that stays. */
+	/**
+	 * Free capacity that no guarantee needs; for work that is protected from preemption.
+	 */
 	UNRESERVED {
 
 		@Override
--- a/core/src/main/java/org/almondmount/jobs/impl/DurationOption.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/DurationOption.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads a span of time from an option of the configuration, such as {@code 500ms},
+ * Parses a duration from an option of the configuration, such as {@code 500ms},
  * {@code 30s} or {@code 2m}.
  */
 final class DurationOption {
@@ -17,9 +17,9 @@
 	}
 
 	/**
-	 * The span that a text stands for.
-	 * @param text the option's value, null if it is not set
-	 * @return the span, empty if there is none or it can't be read
+	 * Parses a duration.
+	 * @param text the value of the option, null if it is not set
+	 * @return the duration, empty if the option is not set or not valid
 	 */
 	static Optional<Duration> parse(String text) {
 		Matcher matcher = DURATION.matcher((text != null) ? text.trim() : "");
--- a/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
@@ -18,13 +18,13 @@
 import org.almondmount.model.ZoneId;
 
 /**
- * The workers in their racks and zones, and the books of who has what. Every change of a
- * worker's books goes through here, so that indexes and blocked shapes hear of it. Not
- * thread-safe.
+ * The workers by rack and zone, and the resources allocated on them. Every change of a
+ * worker's allocations goes through this class, so that the indexes are updated and
+ * blocked shapes are tried again. Not thread-safe.
  */
 final class Fleet {
 
-	/** So many sizes have an index of their own; the others share rounded ones. */
+	/** Number of task sizes with an exact index; further sizes share rounded ones. */
 	private static final int MAX_EXACT_SLOT_INDEXES = 36;
 
 	private final Map<WorkerId, WorkerNode> workers = new TreeMap<>();
@@ -35,22 +35,22 @@
 
 	private final List<RackNode> racksByOrdinal = new ArrayList<>();
 
-	/** All workers that ever joined, by their order. */
+	/** All workers that ever joined, by ordinal. */
 	private final List<WorkerNode> workersByOrdinal = new ArrayList<>();
 
 	private final Map<SlotKey, SlotIndex> slotIndexes = new HashMap<>();
 
-	/** Workers whose place in the indexes is not up to date. */
+	/** Workers whose index entries are out of date. */
 	private final Set<WorkerNode> workersToReindex = new LinkedHashSet<>();
 
 	private final Map<CapacityView, WorkerIndex> workerIndexes = new EnumMap<>(CapacityView.class);
 
-	/** Workers on which room has grown since it was last taken. */
+	/** Workers that changed since the last call of {@link #takeChangedWorkers}. */
 	private final Map<WorkerNode, Boolean> changedWorkers = new LinkedHashMap<>();
 
 	private FleetCapacity capacities;
 
-	/** The whole fleet's capacity, for dominant shares. */
+	/** Capacity of the whole fleet, from which dominant shares are computed. */
 	private long totalAccelerators;
 
 	private long totalCores;
@@ -82,9 +82,9 @@
 	}
 
 	/**
-	 * The index of slots for tasks of a size, made on first use.
-	 * @param view which room counts
-	 * @param need what each task needs
+	 * The index of slots for tasks of a size, created on first use.
+	 * @param view the capacity that counts as available
+	 * @param need the resources of each task
 	 * @return the index
 	 */
 	SlotIndex slotIndex(CapacityView view, Resources need) {
@@ -105,8 +105,8 @@
 	}
 
 	/**
-	 * The index of workers by room, made on first use.
-	 * @param view which room counts
+	 * The index of workers by available capacity, created on first use.
+	 * @param view the capacity that counts as available
 	 * @return the index
 	 */
 	WorkerIndex workerIndex(CapacityView view) {
@@ -125,8 +125,8 @@
 	}
 
 	/**
-	 * Takes a worker in, or in again with what it says now.
-	 * @param info what it announced
+	 * Adds a worker, or updates a known worker from its latest announcement.
+	 * @param info the announcement
 	 * @return its node
 	 */
 	WorkerNode join(WorkerInfo info) {
@@ -144,8 +144,8 @@
 	}
 
 	/**
-	 * What the empty fleet holds, worked out again after workers joined or were lost.
-	 * @return the capacities
+	 * The capacity of the empty fleet, computed again after workers joined or were lost.
+	 * @return the capacity
 	 */
 	FleetCapacity capacities() {
 		if (this.capacities == null) {
@@ -199,7 +199,7 @@
 	}
 
 	/**
-	 * Lets others preempt an attempt that stayed until now.
+	 * Allows other jobs to preempt an attempt that was protected until now.
 	 * @param gang the attempt
 	 */
 	void allowPreemption(Gang gang) {
@@ -207,7 +207,7 @@
 	}
 
 	/**
-	 * Protects an attempt from others again.
+	 * Protects an attempt from preemption by other jobs again.
 	 * @param gang the attempt
 	 */
 	void protectFromPreemption(Gang gang) {
@@ -233,7 +233,7 @@
 	}
 
 	/**
-	 * The workers whose books changed since the last call.
+	 * Returns and clears the workers that changed since the last call.
 	 * @return the workers
 	 */
 	List<WorkerNode> takeChangedWorkers() {
@@ -243,9 +243,9 @@
 	}
 
 	/**
-	 * The dominant share of the whole fleet that an amount is.
+	 * The dominant share of an amount in the capacity of the whole fleet.
 	 * @param amount the amount
-	 * @return the largest of its shares in each dimension
+	 * @return the largest share over all dimensions
 	 */
 	double dominantShare(ResourceSum amount) {
 		double share = 0;
@@ -255,8 +255,8 @@
 	}
 
 	/**
-	 * Brings the indexes up to date. A gang changes its workers' books many times over;
-	 * each is put in its new place once, when an index is asked next.
+	 * Brings the indexes up to date. Placing a gang changes its workers many times, so
+	 * each worker is reindexed only once, when an index is next used.
 	 */
 	void refreshIndexes() {
 		if (this.workersToReindex.isEmpty()) {
--- a/core/src/main/java/org/almondmount/jobs/impl/FleetCapacity.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/FleetCapacity.java
@@ -9,8 +9,8 @@
 import org.almondmount.model.Resources;
 
 /**
- * What the fleet holds when it is empty, by kinds of worker that are equal. Valid until a
- * worker joins or is gone. Not thread-safe.
+ * The capacity of the empty fleet, by the distinct capacities of its workers. Valid until
+ * a worker joins or is lost. Not thread-safe.
  */
 final class FleetCapacity {
 
@@ -47,9 +47,9 @@
 	}
 
 	/**
-	 * Names the dimension in which an amount exceeds every worker.
-	 * @param need what one worker has to hold
-	 * @return a sentence, empty if some worker holds it
+	 * Names the dimension in which a request exceeds every worker.
+	 * @param need the resources needed on one worker
+	 * @return a sentence, empty if some worker has enough
 	 */
 	Optional<String> explainExceededDimension(Resources need) {
 		for (Resources capacity : this.distinctCapacities) {
@@ -71,7 +71,7 @@
 	}
 
 	/**
-	 * How many members of a gang fit together at most.
+	 * The largest number of members of a gang that fit on the empty fleet together.
 	 * @param shape the gang
 	 * @return the number of members
 	 */
--- a/core/src/main/java/org/almondmount/jobs/impl/GangPlacer.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangPlacer.java
@@ -15,15 +15,15 @@
 /**
  * Finds workers for a gang. Not thread-safe.
  * <p>
- * When it packs, it takes the room that is least good for anything else: workers that are
- * already broken before whole ones, racks with the fewest slots first. When it does not
- * pack, it takes the racks with the most slots.
+ * With packing, it uses the capacity that is least useful for other gangs: partly used
+ * workers before idle ones, and racks with the fewest slots first. Without packing, it
+ * uses the racks with the most slots first.
  */
 final class GangPlacer {
 
 	/**
-	 * Racks or workers that are looked at for one gang. The indexes know accelerators
-	 * alone, so that a candidate may lack cores or memory.
+	 * Maximum number of racks or workers examined for one gang. The indexes only cover
+	 * accelerators, so a candidate may lack cores or memory.
 	 */
 	private static final int MAX_CANDIDATES_TRIED = 256;
 
@@ -37,11 +37,11 @@
 	}
 
 	/**
-	 * Workers for each member, adjacent as asked.
+	 * Finds a worker for each member that satisfies the adjacency of the gang.
 	 * @param shape the gang
-	 * @param view which room counts
+	 * @param view the capacity that counts as available
 	 * @param allowed which workers may be used
-	 * @return a worker for each member, null if there is no place
+	 * @return a worker for each member, null if the gang does not fit
 	 */
 	List<WorkerNode> findWorkers(GangShape shape, CapacityView view, Predicate<WorkerNode> allowed) {
 		if (shape.adjacency() == Adjacency.WORKER || shape.members() == 1) {
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * Takes members' workers from racks until there are enough.
+	 * Takes workers from racks until there is one for each member.
 	 * @param shape the gang
-	 * @param view which room counts
+	 * @param view the capacity that counts as available
 	 * @param allowed which workers may be used
 	 * @param racks the racks, in the order in which they are used
 	 * @return a worker for each member, null if there are too few
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
@@ -20,29 +20,33 @@
 import org.almondmount.model.Resources;
 
 /**
- * Keeps a spot for each guaranteed gang that is not in use. Not thread-safe.
+ * Reserves capacity for each guaranteed gang that is not in use. Not thread-safe.
  * <p>
- * On every worker that takes work, {@code firm + reserved} stays within the capacity:
- * whatever else is there can be preempted, so each spot can be reclaimed, all of them at
- * the same time. The check for a placement is local to its workers. A spot that has no
- * place, because workers were lost or firm work is in the way, is at risk and is laid out
- * again as soon as room grows.
+ * On every worker that accepts work, {@code protectedAllocation + guaranteeReserve} stays
+ * within the capacity. Everything else on the worker can be preempted, so all
+ * reservations can be reclaimed at the same time, and a placement only has to be checked
+ * on its own workers. A reservation that cannot be placed, because workers were lost or
+ * protected work is in the way, is at risk; it is placed as soon as capacity becomes
+ * available.
  */
 final class GuaranteeAllocator {
 
-	/** Closest adjacency first, then the largest. */
+	/** Closest adjacency first, then the largest shape. */
 	private static final Comparator<GuaranteeReservation> TIGHTEST_FIRST = Comparator
 		.comparing((GuaranteeReservation spot) -> spot.shape.adjacency())
 		.thenComparing((spot) -> -spot.shape.total().accelerators())
 		.thenComparing((spot) -> -spot.shape.total().cores())
 		.thenComparing((spot) -> spot.customer);
 
-	/** Moving every spot is dear; between two such tries only single ones are placed. */
+	/**
+	 * Moving every reservation is expensive; within this interval after a rebuild,
+	 * reservations are only placed one by one.
+	 */
 	private static final long MIN_REBUILD_INTERVAL_MILLIS = 1_000;
 
 	private static final long REBUILD_INTERVAL_MILLIS_PER_RESERVATION = 5;
 
-	/** Spots lie on workers that need not prove themselves first. */
+	/** Reservations are not placed on workers that are on probation. */
 	static final Predicate<WorkerNode> NOT_ON_PROBATION = (worker) -> !worker.probation;
 
 	private static final double MAX_HOLD_MILLIS = 30_000;
@@ -57,7 +61,9 @@
 
 	private final Set<GuaranteeReservation> unplaced = new LinkedHashSet<>();
 
-	/** Customers whose spots have changed since they were last taken. */
+	/**
+	 * Customers whose reservations changed since the last {@link #takeChangedCustomers}.
+	 */
 	private final Set<CustomerId> changedCustomers = new LinkedHashSet<>();
 
 	private long nextRebuildAtMillis = Long.MIN_VALUE;
@@ -69,7 +75,7 @@
 	}
 
 	/**
-	 * Takes the guarantees of a configuration over.
+	 * Applies the guarantees of a configuration.
 	 * @param configuration the configuration
 	 */
 	void configure(Configuration configuration) {
@@ -85,7 +91,7 @@
 		placeOrRebuild();
 	}
 
-	/** Finds places for the spots that have none. */
+	/** Places the unplaced reservations; if some remain, rebuilds the layout when due. */
 	void placeOrRebuild() {
 		if (this.unplaced.isEmpty() || placeUnplaced()) {
 			return;
@@ -99,7 +105,7 @@
 	}
 
 	/**
-	 * The customers whose spots have changed since the last call.
+	 * Returns and clears the customers whose reservations changed since the last call.
 	 * @return the customers
 	 */
 	List<CustomerId> takeChangedCustomers() {
@@ -109,8 +115,9 @@
 	}
 
 	/**
-	 * Whether work that stays may be placed on a worker: not where a spot that has no
-	 * place could lie if everything else left, or the spot would wait for that work.
+	 * Whether work that is protected from preemption may be placed on a worker. It may
+	 * not where an unplaced reservation would fit if the worker were empty, since the
+	 * reservation would have to wait for that work to end.
 	 * @param worker the worker
 	 * @return true if it may
 	 */
@@ -124,9 +131,10 @@
 	}
 
 	/**
-	 * Whether any worker has room for a task beside all spots on it, in use or not.
-	 * @param need what the task needs
-	 * @return true if one has
+	 * Whether any worker has capacity for a task in addition to all reservations on it,
+	 * whether these are in use or not.
+	 * @param need the resources of the task
+	 * @return true if there is such a worker
 	 */
 	boolean hasCapacityBesideGuarantees(Resources need) {
 		for (WorkerNode worker : this.fleet.workers()) {
@@ -172,8 +180,8 @@
 	}
 
 	/**
-	 * Whether a job and all that its customer has already are no more than the customer's
-	 * guarantees altogether.
+	 * Whether a job and the resources that its customer already uses are within the sum
+	 * of the customer's guarantees.
 	 * @param job the job
 	 * @return true if so
 	 */
@@ -188,10 +196,11 @@
 	}
 
 	/**
-	 * Workers inside a spot for each member of a gang.
+	 * Finds workers inside a reservation for the members of a gang.
 	 * @param shape the gang
-	 * @param reservation the spot
-	 * @return a worker for each member, null if it does not fit what is left of the spot
+	 * @param reservation the reservation
+	 * @return a worker for each member, null if the gang does not fit the unused rest of
+	 * the reservation
 	 */
 	List<WorkerNode> findWorkersInside(GangShape shape, GuaranteeReservation reservation) {
 		if (!reservation.isPlaced()) {
@@ -212,8 +221,8 @@
 	}
 
 	/**
-	 * Moves a spot that is not in use, or gives it its first place.
-	 * @param reservation the spot
+	 * Moves a vacant reservation, or places it for the first time.
+	 * @param reservation the reservation
 	 * @param memberWorkers a worker for each member
 	 */
 	void place(GuaranteeReservation reservation, List<WorkerNode> memberWorkers) {
@@ -235,8 +244,8 @@
 	}
 
 	/**
-	 * Takes a spot's place away.
-	 * @param reservation the spot
+	 * Removes a reservation from its workers.
+	 * @param reservation the reservation
 	 */
 	void unplace(GuaranteeReservation reservation) {
 		setHeld(reservation, false);
@@ -250,9 +259,9 @@
 	}
 
 	/**
-	 * Has an attempt of the owner run inside a spot.
-	 * @param reservation the spot
-	 * @param gang the attempt, with its members' workers
+	 * Assigns an attempt of the owner to a reservation.
+	 * @param reservation the reservation
+	 * @param gang the attempt, with the workers of its members
 	 */
 	void attach(GuaranteeReservation reservation, Gang gang) {
 		setHeld(reservation, false);
@@ -262,7 +271,7 @@
 	}
 
 	/**
-	 * Gives back what an attempt has of its spot, as a member's room is released.
+	 * Returns a member's resources to the reservation when its allocation is released.
 	 * @param member the member
 	 */
 	void release(Member member) {
@@ -281,7 +290,7 @@
 	}
 
 	/**
-	 * Takes an attempt out of its spot while its members still have their room.
+	 * Removes an attempt from its reservation while its members keep their allocations.
 	 * @param gang the attempt
 	 */
 	void detach(Gang gang) {
@@ -312,7 +321,8 @@
 	}
 
 	/**
-	 * A worker takes no more work: spots on it need another place.
+	 * Handles a worker that accepts no more work: reservations on it must be placed
+	 * elsewhere.
 	 * @param worker the worker
 	 */
 	void onWorkerUnavailable(WorkerNode worker) {
@@ -329,7 +339,8 @@
 	}
 
 	/**
-	 * A worker takes work again: spots in use on it are whole again.
+	 * Handles a worker that accepts work again: reservations in use on it are no longer
+	 * degraded if all of their other workers are available too.
 	 * @param worker the worker
 	 */
 	void onWorkerAvailable(WorkerNode worker) {
@@ -343,8 +354,8 @@
 	}
 
 	/**
-	 * Moves spots off a worker on which they don't fit any more, because it has less than
-	 * before or was found to run work that stays.
+	 * Unplaces reservations that no longer fit on a worker, because its capacity shrank
+	 * or it was found to run protected work.
 	 * @param worker the worker
 	 */
 	void unplaceExcess(WorkerNode worker) {
@@ -365,10 +376,11 @@
 	}
 
 	/**
-	 * Keeps borrowers out of a spot for a while after its use: as long as leaving it idle
-	 * costs what having them leave cost last time. Whatever the owner does next, at most
-	 * twice the least possible is lost.
-	 * @param reservation the spot
+	 * Keeps borrowers out of a reservation for some time after its use. The hold lasts
+	 * until the cost of the idle capacity equals the cost of the last eviction of
+	 * borrowers, so that the total loss is at most twice the minimum, whatever the owner
+	 * does next.
+	 * @param reservation the reservation
 	 */
 	private void holdAfterUse(GuaranteeReservation reservation) {
 		long millis = (long) Math.min(MAX_HOLD_MILLIS,
@@ -455,9 +467,10 @@
 	}
 
 	/**
-	 * Lays spots out anew, and keeps that only if more of them have a place. Small work
-	 * inside a spot is taken out of it for that: it goes on as a borrower, which is less
-	 * than a guarantee that could not be reclaimed at all.
+	 * Computes the layout anew and keeps the result only if it places more reservations.
+	 * Reservations with only small preemptible gangs are moved as well; these gangs
+	 * continue as borrowers, which is a smaller loss than a guarantee that cannot be
+	 * reclaimed at all.
 	 */
 	private void rebuildLayout() {
 		Map<GuaranteeReservation, List<WorkerNode>> previousLayout = new LinkedHashMap<>();
@@ -503,10 +516,10 @@
 	}
 
 	/**
-	 * A place for a spot: room that is free if there is any, so that nobody has to leave
-	 * when it is reclaimed.
+	 * Finds workers for a reservation, preferably with free capacity, so that no work is
+	 * evicted when the reservation is reclaimed.
 	 * @param shape the gang
-	 * @return the result
+	 * @return a worker for each member, null if it does not fit
 	 */
 	private List<WorkerNode> findMemberWorkers(GangShape shape) {
 		List<WorkerNode> memberWorkers = this.placer.findWorkers(shape, CapacityView.UNRESERVED, NOT_ON_PROBATION);
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
@@ -13,9 +13,10 @@
 import org.almondmount.model.Resources;
 
 /**
- * All guaranteed shapes of a configuration laid out at once on the empty fleet, zones
- * that are out left out. The layout is greedy, in two orders; a configuration that only a
- * cleverer search could lay out is reported as one that does not fit. Not thread-safe.
+ * Checks whether all guaranteed shapes of a configuration fit on the empty fleet at the
+ * same time. Zones that are out are not used. The layout is computed greedily, in two
+ * orders, so a configuration that only a more thorough search could lay out is reported
+ * as not fitting. Not thread-safe.
  */
 final class GuaranteeFeasibilityCheck {
 
@@ -49,8 +50,8 @@
 	}
 
 	/**
-	 * A sentence for each guaranteed gang without a place.
-	 * @return the sentences
+	 * Describes each guaranteed gang that could not be placed.
+	 * @return one sentence for each of these gangs
 	 */
 	List<String> describeUnplaced() {
 		List<String> sentences = new ArrayList<>();
@@ -62,8 +63,9 @@
 	}
 
 	/**
-	 * Says which shape does not fit, the largest that would, and where.
-	 * @param preferredCustomer the customer whose change is planned
+	 * Describes a shape that does not fit, the largest shape that would, and where.
+	 * @param preferredCustomer the customer whose change is planned; its shapes are
+	 * reported in preference to others
 	 * @return a sentence
 	 */
 	String explainMisfit(CustomerId preferredCustomer) {
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeReservation.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeReservation.java
@@ -8,8 +8,9 @@
 import org.almondmount.model.Resources;
 
 /**
- * The adjacent place that is kept for one gang of a guaranteed shape. Its owner's work
- * inside it takes from what is kept, the rest stays kept. Mutable, not thread-safe.
+ * The adjacent capacity that is reserved for one gang of a guaranteed shape. The owner's
+ * gangs inside it use the reserved capacity; the rest stays reserved. Mutable, not
+ * thread-safe.
  */
 final class GuaranteeReservation {
 
@@ -17,25 +18,27 @@
 
 	final GangShape shape;
 
-	/** The parts on each worker; empty while no place could be found. */
+	/** The portion on each worker; empty while the reservation is unplaced. */
 	final List<WorkerPortion> portions = new ArrayList<>();
 
-	/** The owner's attempts that run inside it. */
+	/** The owner's attempts that run inside the reservation. */
 	final List<Gang> ownerGangs = new ArrayList<>(1);
 
-	/** What making room in it last lost, in accelerator seconds. */
+	/** Work lost by the last eviction for the reservation, in accelerator seconds. */
 	double lastEvictionLoss;
 
-	/** Whether borrowers have to leave it alone although it is not in use. */
+	/** Whether borrowers may not use it although it is vacant. */
 	boolean held;
 
-	/** Counts the times that it was held, so that an old timer is known. */
+	/** Number of holds so far, by which the timer of an earlier hold is recognized. */
 	int holdGeneration;
 
-	/** Whether a worker of it is gone or takes no work. */
+	/** Whether one of its workers is lost or accepts no work. */
 	boolean degraded;
 
-	/** Whether the guarantee was withdrawn while it was in use. */
+	/**
+	 * Whether the guarantee was withdrawn; takes effect when the reservation is vacant.
+	 */
 	boolean withdrawn;
 
 	GuaranteeReservation(CustomerId customer, GangShape shape) {
@@ -62,7 +65,7 @@
 	}
 
 	/**
-	 * What one worker keeps for a spot. Mutable, not thread-safe.
+	 * The portion of a reservation on one worker. Mutable, not thread-safe.
 	 */
 	static final class WorkerPortion {
 
@@ -72,7 +75,7 @@
 
 		final int memberCount;
 
-		/** What the owner's work inside the spot has here. */
+		/** Resources on this worker used by the owner's gangs inside the reservation. */
 		final ResourceSum ownerUsage = new ResourceSum();
 
 		WorkerPortion(GuaranteeReservation reservation, WorkerNode worker, int memberCount) {
@@ -104,8 +107,8 @@
 		}
 
 		/**
-		 * Takes the part that is kept out of, or back into, the worker's books.
-		 * @param factor how often; negative to take away
+		 * Adds the unused portion to the worker's reserved capacity, or subtracts it.
+		 * @param factor how many times to add it; negative to subtract
 		 */
 		void addToWorker(int factor) {
 			this.worker.guaranteeReserve.accelerators += factor * accelerators();
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
@@ -7,12 +7,12 @@
 import org.almondmount.model.Urgency;
 
 /**
- * Starts jobs inside their owner's guarantee: in the spot as it lies, in free room to
- * which the spot moves, or by having borrowers leave. Not thread-safe.
+ * Starts jobs within their owner's guarantees: in a reservation where it is placed, by
+ * moving the reservation to free capacity, or by evicting borrowers. Not thread-safe.
  */
 final class GuaranteedJobStarter {
 
-	/** Spots of one customer that are compared for one job. */
+	/** Number of reservations of one customer that are compared for one job. */
 	private static final int MAX_RESERVATIONS_COMPARED = 16;
 
 	private final Desk context;
@@ -38,11 +38,11 @@
 	}
 
 	/**
-	 * Whether a job is what the guarantee was given for, and so may have borrowers leave
-	 * at once. Smaller work inside a spot would take it from the gang that it is kept
-	 * for.
+	 * Whether a job may evict borrowers at once, because it is the kind of work for which
+	 * the guarantee was given. A smaller job inside a reservation would take capacity
+	 * away from the gang for which it is reserved.
 	 * @param job the job
-	 * @return true if it is urgent or about as large as a spot that is not in use
+	 * @return true if it is urgent or about as large as a reservation that is not in use
 	 */
 	boolean mayReclaimImmediately(JobState job) {
 		List<GuaranteeReservation> reservations = this.guaranteeAllocator.reservations(job.spec.customer());
@@ -66,8 +66,9 @@
 	}
 
 	/**
-	 * Whether a job is about as large as a spot of its customer that is not in use.
-	 * Smaller work borrows where there is room, so that it does not break the spot.
+	 * Whether a job is about as large as a reservation of its customer that is not in
+	 * use. Smaller jobs borrow capacity elsewhere, so that they do not fragment the
+	 * reservation.
 	 * @param job the job
 	 * @return true if so
 	 */
@@ -82,10 +83,11 @@
 	}
 
 	/**
-	 * Starts a job inside its owner's guarantee, whoever has to leave.
+	 * Starts a job within its owner's guarantees.
 	 * @param job the job
-	 * @param mayEvict whether others may have to leave
-	 * @return false if no spot can hold it
+	 * @param mayEvict whether other jobs may be evicted
+	 * @return false if the job was not started: no reservation can hold it, or others
+	 * would have to be evicted and may not be
 	 */
 	boolean start(JobState job, boolean mayEvict) {
 		GangShape shape = job.spec.shape();
@@ -125,11 +127,12 @@
 	}
 
 	/**
-	 * Moves the spot to room that is free, or cheaper to clear than where it lies.
+	 * Moves a reservation to capacity that is free, or cheaper to clear than its present
+	 * workers, and starts a job there.
 	 * @param job the job
-	 * @param reservation the spot
-	 * @param evictionInPlace what it would take where the spot lies
-	 * @return true if so
+	 * @param reservation the reservation
+	 * @param evictionInPlace the eviction needed on the present workers
+	 * @return true if the job was started
 	 */
 	private boolean startAfterMove(JobState job, GuaranteeReservation reservation, Evictor.Eviction evictionInPlace) {
 		List<WorkerNode> previousWorkers = reservation.memberWorkers();
@@ -155,10 +158,11 @@
 	}
 
 	/**
-	 * Urgent work goes before the owner's own work that is not urgent, a gang for which
-	 * the spot was given before the owner's small work in it.
+	 * Starts a job in place of other work of its owner. Urgent work takes precedence over
+	 * work that is not urgent, and a gang as large as the reservation over small work
+	 * inside it.
 	 * @param job the job
-	 * @return true if so
+	 * @return true if the job was started
 	 */
 	private boolean startByDisplacingOwner(JobState job) {
 		for (GuaranteeReservation reservation : this.guaranteeAllocator.reservations(job.spec.customer())) {
@@ -181,9 +185,10 @@
 	}
 
 	/**
-	 * Borrowers have to leave; the owner's own only for its urgent work.
+	 * Which attempts may be evicted for a job: borrowers, and the owner's own attempts
+	 * only if the job is urgent.
 	 * @param job the job
-	 * @return the result
+	 * @return the predicate
 	 */
 	private static Predicate<Gang> isEvictableFor(JobState job) {
 		boolean urgent = job.spec.urgency() == Urgency.URGENT;
@@ -233,12 +238,12 @@
 	}
 
 	/**
-	 * Whether a job may take a part of a spot. Small work that may not be repeated could
-	 * not leave again for the gang that the spot is kept for; it gets in only when it has
-	 * waited very long and guarantees cover every worker, so that it does not wait for
-	 * ever.
+	 * Whether a job may use a part of a reservation. A small non-repeatable job could not
+	 * be evicted again for the gang for which the capacity is reserved. It is admitted
+	 * only after a very long wait and if guarantees cover every worker, so that it does
+	 * not wait forever.
 	 * @param job the job
-	 * @param reservation the spot
+	 * @param reservation the reservation
 	 * @return true if it may
 	 */
 	private boolean mayUsePartOf(JobState job, GuaranteeReservation reservation) {
--- a/core/src/main/java/org/almondmount/jobs/impl/RackNode.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/RackNode.java
@@ -14,7 +14,7 @@
 
 	final ZoneNode zone;
 
-	/** Its place among all racks, by which ties are broken. */
+	/** Position among all racks; breaks ties. */
 	final int ordinal;
 
 	final List<WorkerNode> workers = new ArrayList<>();
--- a/core/src/main/java/org/almondmount/jobs/impl/ResourceSum.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ResourceSum.java
@@ -3,8 +3,8 @@
 import org.almondmount.model.Resources;
 
 /**
- * A running sum of resources. Mutable, not thread-safe; may be negative while a worker is
- * promised to a gang whose room is still being cleared.
+ * A mutable sum of resources. A dimension may be negative, for example while a worker is
+ * allocated to a gang for which other gangs are still being evicted. Not thread-safe.
  */
 final class ResourceSum {
 
@@ -27,8 +27,8 @@
 	}
 
 	/**
-	 * Whether nothing is missing in any dimension.
-	 * @return true if none is negative
+	 * Whether the sum covers all that was subtracted from it.
+	 * @return true if no dimension is negative
 	 */
 	boolean isNonNegative() {
 		return this.accelerators >= 0 && this.cores >= 0 && this.memoryMb >= 0;
--- a/core/src/main/java/org/almondmount/jobs/impl/SlotIndex.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/SlotIndex.java
@@ -9,12 +9,13 @@
 import org.almondmount.model.Resources;
 
 /**
- * How many tasks of one size each worker, rack and zone has room for, and the racks in
- * the order of that number. An update costs the logarithm of the racks. Not thread-safe.
+ * Counts how many tasks of one size fit on each worker, rack and zone, and sorts the
+ * racks by that number. An update takes time logarithmic in the number of racks. Not
+ * thread-safe.
  * <p>
- * The first sizes that are asked for have an index of their own. Further ones are rounded
- * down (accelerators alone where there are any) and share; a number found there is an
- * upper bound and the worker itself is asked before it is used.
+ * The first sizes requested have an index of their own. Further sizes are rounded down
+ * (to accelerators alone where they need any) and share an index. The numbers of a shared
+ * index are upper bounds, so each worker is checked before it is used.
  */
 final class SlotIndex {
 
@@ -34,7 +35,7 @@
 
 	private long total;
 
-	/** Racks of each zone by slots, then order. */
+	/** Racks of each zone with slots, by slots, then ordinal. */
 	private final List<TreeSet<Long>> rackKeysByZone = new ArrayList<>();
 
 	private final TreeSet<Long> rackKeys = new TreeSet<>();
@@ -45,8 +46,8 @@
 	}
 
 	/**
-	 * The size that stands for a task's need in an index.
-	 * @param need what a task needs
+	 * Rounds the resources of a task down to the size of a shared index.
+	 * @param need the resources of a task
 	 * @return the rounded size
 	 */
 	static Resources roundTaskSize(Resources need) {
@@ -97,8 +98,8 @@
 	}
 
 	/**
-	 * The keys of all racks with some slots, ascending; {@link #rackOrdinal} turns a key
-	 * into the rack's order.
+	 * The keys of all racks that have slots, ascending; {@link #rackOrdinal} extracts the
+	 * ordinal of the rack from a key.
 	 * @return the keys
 	 */
 	TreeSet<Long> rackKeys() {
@@ -110,7 +111,7 @@
 	}
 
 	/**
-	 * The smallest key of a rack with that many slots.
+	 * The smallest key of a rack with a number of slots.
 	 * @param slots the number of slots
 	 * @return the key
 	 */
--- a/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
@@ -12,28 +12,29 @@
 import org.almondmount.model.GangShape;
 
 /**
- * Keeps room for gangs that have waited, so that small work does not take each worker as
- * it falls free. Not thread-safe.
+ * Reserves capacity for gangs that have waited, so that small jobs do not take each
+ * worker as it becomes free. Not thread-safe.
  */
 final class WaitingJobReservations {
 
-	/** More at a time would leave no room to backfill. */
+	/** More reservations at a time would leave no capacity for backfill. */
 	private static final int MAX_RESERVATIONS = 8;
 
-	/** Beside the first, reservations cover no more than this share of the workers. */
+	/** Share of the workers that reservations may cover; a single one may exceed it. */
 	private static final double MAX_WORKER_SHARE = 0.25;
 
 	private static final int MAX_RACKS_COMPARED = 8;
 
 	/**
-	 * How late the room may be before another place is sought, as a share of the wait.
+	 * How late a reservation may be before it is replaced, as a share of the expected
+	 * wait.
 	 */
 	private static final double MAX_DELAY_RATIO = 0.5;
 
-	/** Room that is late stands idle meanwhile. */
+	/** Upper limit of the delay, since late reservations leave capacity idle. */
 	private static final long MAX_DELAY_MILLIS = 30_000;
 
-	/** How long a job has no other reservation after one that was late. */
+	/** How long a job gets no new reservation after one that was late. */
 	private static final long RETRY_PAUSE_MILLIS = 60_000;
 
 	private static final long MIN_EXPECTED_WAIT_MILLIS = 10_000;
@@ -61,10 +62,11 @@
 	}
 
 	/**
-	 * Whether a job may use a worker although it is reserved for another.
+	 * Whether a job may use a worker that may be reserved for another job.
 	 * @param job the job
 	 * @param worker the worker
-	 * @param backfill whether work that ends in time may
+	 * @param backfill whether work that is expected to end in time may use reserved
+	 * workers
 	 * @return true if it may
 	 */
 	boolean mayUse(JobState job, WorkerNode worker, boolean backfill) {
@@ -76,8 +78,8 @@
 	}
 
 	/**
-	 * Drops the reservations of jobs that do not wait any more, or whose room is late.
-	 * @return the jobs that wait and whose room is late
+	 * Drops the reservations of jobs that no longer wait, and those that are late.
+	 * @return the waiting jobs whose reservation was late
 	 */
 	List<JobState> dropObsolete() {
 		List<JobState> overdue = new ArrayList<>();
@@ -95,9 +97,10 @@
 	}
 
 	/**
-	 * Reserves room for a waiting job, if reservations are left.
+	 * Reserves capacity for a waiting job if the limits allow another reservation.
 	 * @param job the job
-	 * @param mayReplaceYounger whether it goes before younger ones when none is left
+	 * @param mayReplaceYounger whether it may replace the reservation of a younger job
+	 * when the maximum number is reached
 	 */
 	void reserve(JobState job, boolean mayReplaceYounger) {
 		if (this.reservations.containsKey(job) || job.reserveAfter > this.context.now) {
@@ -114,7 +117,7 @@
 	}
 
 	/**
-	 * How long a job is expected to wait if nobody is made to leave.
+	 * How long a job is expected to wait if no other job is evicted.
 	 * @param job the job
 	 * @return the time in milliseconds
 	 */
@@ -234,10 +237,10 @@
 	}
 
 	/**
-	 * The workers of a candidate that are free soonest, as many as the gang needs.
+	 * Selects the workers that become empty soonest, as many as the gang needs.
 	 * @param job the job
-	 * @param workers the workers
-	 * @return the result
+	 * @param workers the candidate workers
+	 * @return the reservation, null if the workers are not enough
 	 */
 	private WaitingJobReservation plan(JobState job, List<WorkerNode> workers) {
 		GangShape shape = job.spec.shape();
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerIndex.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerIndex.java
@@ -6,8 +6,8 @@
 import org.almondmount.model.Resources;
 
 /**
- * Workers by room: accelerators, then cores, then order. Finds the worker with the least
- * room that is enough. Not thread-safe.
+ * Workers sorted by available capacity: accelerators, then cores, then ordinal. Finds the
+ * worker with the least sufficient capacity (best fit). Not thread-safe.
  */
 final class WorkerIndex {
 
@@ -51,10 +51,11 @@
 	}
 
 	/**
-	 * The next worker's order with enough accelerators and cores, from the least room up.
-	 * @param need what it has to hold
-	 * @param after the key returned before, or -1 for the first
-	 * @return its key, -1 if there is none
+	 * Finds the next worker with enough accelerators and cores, in ascending order of
+	 * capacity.
+	 * @param need the resources needed
+	 * @param after the key returned by the previous call, or -1 for the first
+	 * @return the key of the worker, -1 if there is none
 	 */
 	long nextFitting(Resources need, long after) {
 		Long key = (after == NO_KEY) ? this.keys.ceiling(key(need.accelerators(), need.cores(), 0))
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerNode.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerNode.java
@@ -9,18 +9,19 @@
 import org.almondmount.model.WorkerInfo;
 
 /**
- * A worker of the fleet with its books. Mutable, not thread-safe.
+ * A worker of the fleet and its allocations. Mutable, not thread-safe.
  * <p>
- * Three sums are kept for it: what members have or are promised ({@code used}), the part
- * of that which may not be preempted ({@code firm}), and what is kept for guaranteed
- * shapes that are not in use ({@code reserved}). Guarantees can be reclaimed as long as
- * {@code firm + reserved} never exceeds the capacity.
+ * Three sums are maintained: the resources that members use or have been promised
+ * ({@code allocated}), the part of these that is protected from preemption
+ * ({@code protectedAllocation}), and the capacity reserved for guaranteed shapes that are
+ * not in use ({@code guaranteeReserve}). Guarantees can be reclaimed as long as
+ * {@code protectedAllocation + guaranteeReserve} never exceeds the capacity.
  */
 final class WorkerNode {
 
 	final RackNode rack;
 
-	/** Its place among all workers, by which ties are broken. */
+	/** Position among all workers; breaks ties. */
 	final int ordinal;
 
 	final ResourceSum allocated = new ResourceSum();
@@ -29,16 +30,16 @@
 
 	final ResourceSum guaranteeReserve = new ResourceSum();
 
-	/** The part of {@code firm} that may not be repeated. */
+	/** The part of {@code protectedAllocation} that belongs to non-repeatable work. */
 	final ResourceSum pinnedAllocation = new ResourceSum();
 
-	/** The part of {@code reserved} that borrowers have to leave alone for now. */
+	/** The part of {@code guaranteeReserve} that borrowers may not use at present. */
 	final ResourceSum heldReserve = new ResourceSum();
 
-	/** Members that have room here, running or not. */
+	/** Members with an allocation on this worker, running or not. */
 	final Set<Member> members = new LinkedHashSet<>();
 
-	/** What it keeps for spots. */
+	/** Portions of guarantee reservations on this worker. */
 	final List<GuaranteeReservation.WorkerPortion> portions = new ArrayList<>(2);
 
 	/** Jobs whose own program failed here and that have not failed elsewhere. */
@@ -50,21 +51,21 @@
 
 	boolean leaving;
 
-	/** Set aside because it failed what it started. */
+	/** Whether it gets no work because tasks that it started failed. */
 	boolean quarantined;
 
-	/** Takes one single task at a time until it has shown that it runs them. */
+	/** Whether it gets only one task at a time, until it has shown that it runs them. */
 	boolean probation;
 
-	/** How much it failed lately, as of {@link #failureScoreAtMillis}. */
+	/** Decaying score of recent failures, as of {@link #failureScoreAtMillis}. */
 	double failureScore;
 
 	long failureScoreAtMillis;
 
-	/** How often it was set aside. */
+	/** Number of times it was quarantined. */
 	int quarantineCount;
 
-	/** The waiting job for which it is kept, null if for none. */
+	/** The reservation of a waiting job on this worker, null if there is none. */
 	WaitingJobReservation reservation;
 
 	WorkerNode(WorkerInfo info, RackNode rack, int ordinal) {
@@ -79,15 +80,16 @@
 	}
 
 	/**
-	 * Whether guarantees may rely on it.
-	 * @return true if it takes work and is not on probation
+	 * Whether guarantees may rely on this worker.
+	 * @return true if it accepts work and is not on probation
 	 */
 	boolean isTrusted() {
 		return !this.probation && isAccepting();
 	}
 
 	/**
-	 * Whether more is promised than it has, because borrowers still have to leave.
+	 * Whether more is allocated than its capacity, because borrowers are still being
+	 * evicted.
 	 * @return true if so
 	 */
 	boolean isOverallocated() {
@@ -115,9 +117,9 @@
 	}
 
 	/**
-	 * How many tasks of a size fit, from zero.
-	 * @param need what each task needs
-	 * @param view which room counts
+	 * The number of tasks of a size that fit, at least zero.
+	 * @param need the resources of each task
+	 * @param view the capacity that counts as available
 	 * @return the number of tasks
 	 */
 	int slots(Resources need, CapacityView view) {
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneNode.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneNode.java
@@ -12,14 +12,14 @@
 
 	final ZoneId id;
 
-	/** Its place among all zones. */
+	/** Position among all zones. */
 	final int ordinal;
 
 	final List<RackNode> racks = new ArrayList<>();
 
 	boolean accepting = true;
 
-	/** Counts the changes of state, so that a timer of an earlier change is stale. */
+	/** Number of state changes, by which the timer of an earlier change is recognized. */
 	int stateChangeCount;
 
 	ZoneNode(ZoneId id, int ordinal) {
--- a/core/src/test/java/org/almondmount/jobs/impl/GangLifecycleTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/GangLifecycleTests.java
@@ -37,10 +37,9 @@
 
 	@Test
 	void lostWorkerRequeuesTheWholeGangUnderANewAttempt() {
-		// One of three workers dies while the gang runs. The caller sees the job wait and
-		// run again: the two other members are told to let go first, then attempt 2 is
-		// placed on healthy workers, because a gang must never run on a part of its
-		// members.
+		// One of three workers is lost while the gang runs. A gang must never run with
+		// only some of its members, so the two other members are stopped first, and
+		// attempt 2 is then placed on healthy workers.
 		JobId job = this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(3, 8, Adjacency.RACK)), 5_000);
 		this.fleet.runFor(200);
 		this.fleet.loseWorker(this.fleet.scheduler.job(job).orElseThrow().placement().get(1).worker());
@@ -92,9 +91,8 @@
 
 	@Test
 	void memberThatSucceedsWithoutAStartReportCountsAsStarted() {
-		// The report that one member runs is lost, its success is not. The other member
-		// goes on past the time allowed for a start; the caller sees one attempt that
-		// succeeds.
+		// The start report of one member is lost, its success report is not. The other
+		// member runs past the start timeout; the job must succeed in its first attempt.
 		JobId job = new JobId("a");
 		this.fleet.workersRespond = false;
 		this.fleet.submit("a", VirtualFleet.spec("one", VirtualFleet.gang(2, 1, Adjacency.ANY)), 60_000);
@@ -166,7 +164,7 @@
 	}
 
 	/**
-	 * Jobs that a former lease holder had running.
+	 * Jobs that were running under the previous lease holder.
 	 */
 	private static final class GangRecovery {
 
--- a/core/src/test/java/org/almondmount/jobs/impl/GuaranteeTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/GuaranteeTests.java
@@ -45,9 +45,9 @@
 
 	@Test
 	void borrowerThatIgnoresTheSuspendCommandIsStopped() {
-		// The borrowers never answer the order to checkpoint. The owner still sees its
-		// gang start in time: they are stopped once the time for a checkpoint is over,
-		// and wait again as a whole.
+		// The borrowers never answer the command to checkpoint. They must be stopped and
+		// requeued as complete gangs when the checkpoint timeout is over, so that the
+		// owner's gang still starts in time.
 		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
 		this.fleet.jobsIgnoringSuspend.addAll(occupyFleetWithBorrowers());
 		JobId job = this.fleet.submit("g", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
@@ -66,9 +66,9 @@
 
 	@Test
 	void workerLostDuringReclaimDelaysTheGangButDoesNotSplitIt() {
-		// A worker of the spot dies while its borrowers are checkpointing. The owner's
-		// gang is given up whole, the spot moves to a rack that is whole, and the gang
-		// starts there.
+		// A worker of the reservation is lost while its borrowers are checkpointing. The
+		// attempt of the owner's gang is abandoned for all members, the reservation moves
+		// to a rack without lost workers, and the gang starts there.
 		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
 		occupyFleetWithBorrowers();
 		JobId job = this.fleet.submit("g", VirtualFleet.urgent(VirtualFleet.spec("owner", RACK_OF_24)), 60_000);
--- a/core/src/test/java/org/almondmount/jobs/impl/OrderTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/OrderTests.java
@@ -40,9 +40,9 @@
 
 	@Test
 	void gangIsNotStarvedByAContinuousStreamOfSmallJobs() {
-		// Small jobs of another customer keep every worker busy and never stop coming.
-		// The gang waits until its reservation or its share has room made for it; it
-		// starts within the stated bound although no rack ever falls free by itself.
+		// A continuous stream of small jobs of another customer keeps every worker busy,
+		// so no rack ever becomes free by itself. The gang must still start within the
+		// bound, on capacity cleared for its reservation or its fair share.
 		for (int i = 0; i < 400; i++) {
 			this.fleet.submit("s" + i, VirtualFleet.spec("small", ONE), 60_000 + 977 * (i % 60));
 		}
@@ -58,9 +58,10 @@
 
 	@Test
 	void burstOfSubmissionsAndCancellationsDoesNotDelayAnUrgentStart() {
-		// 10,000 small jobs and 50 gangs arrive together and most are cancelled at once.
-		// An urgent job inside its owner's guarantee still starts within 5.5 s, because
-		// borrowers leave and a cancellation costs no more than its own job.
+		// 10,000 small jobs and 50 gangs are submitted together and most are cancelled at
+		// once. An urgent job within its owner's guarantee must still start within 5.5 s,
+		// because borrowers are evicted and a cancellation costs no more than its own
+		// job.
 		this.fleet.putCustomer("owner", 1, new GuaranteedShape(1, RACK_OF_24));
 		List<JobId> burst = new ArrayList<>();
 		for (int i = 0; i < 10_000; i++) {
--- a/core/src/test/java/org/almondmount/jobs/impl/RandomHistoryTests.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/RandomHistoryTests.java
@@ -21,7 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Random histories of jobs, customers, zones and workers, checked after every event.
+ * Runs random sequences of events of jobs, zones and workers against guarantees of two
+ * customers and checks the invariants after every event.
  */
 class RandomHistoryTests {
 
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -17,9 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Checks a scheduler from outside, slowly: it works everything out anew from what the
- * workers hold and from where the scheduler says that its spots lie, and trusts none of
- * the scheduler's sums.
+ * Checks the invariants of a scheduler independently of its own sums: everything is
+ * computed again from the tasks on the workers and the workers of the reservations. Slow.
  */
 final class ReclaimChecker {
 
--- a/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
@@ -36,8 +36,8 @@
 import org.almondmount.model.ZoneState;
 
 /**
- * Table and workers under a virtual clock, driven by the scheduler's commands. It keeps
- * its own record of what is held and running, which the checks read.
+ * Simulates the store and the workers in virtual time, driven by the commands of the
+ * scheduler. Keeps its own record of prepared and running tasks for the checks.
  */
 final class VirtualFleet {
 
@@ -57,13 +57,13 @@
 
 	final Set<WorkerId> lostWorkers = new HashSet<>();
 
-	/** Workers that fail whatever they start. */
+	/** Workers on which every task fails. */
 	final Set<WorkerId> failingWorkers = new HashSet<>();
 
 	/** Jobs whose program fails. */
 	final Set<JobId> failingJobs = new HashSet<>();
 
-	/** Jobs that do not answer when told to checkpoint. */
+	/** Jobs that do not respond to the suspend command. */
 	final Set<JobId> jobsIgnoringSuspend = new HashSet<>();
 
 	final Map<JobId, Long> runMillis = new HashMap<>();
@@ -294,7 +294,7 @@
 	}
 
 	/**
-	 * A member that a worker holds or runs.
+	 * A member that is prepared or running on a worker.
 	 */
 	static final class TaskState {
 
