--- a/core/src/main/java/org/almondmount/jobs/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Admission.java
@@ -60,7 +60,7 @@
 	 * @return the result
 	 */
 	private Optional<String> neverFits(GangShape shape) {
-		FleetCapacity capacities = this.fleet.capacities();
+		FleetCapacity capacities = this.fleet.emptyCapacity();
 		if (capacities.isEmpty()) {
 			return Optional.empty();
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Fleet.java
@@ -48,7 +48,7 @@
 	/** Workers that changed since the last call of {@link #takeChangedWorkers}. */
 	private final Map<WorkerNode, Boolean> changedWorkers = new LinkedHashMap<>();
 
-	private FleetCapacity capacities;
+	private FleetCapacity emptyCapacity;
 
 	/** Capacity of the whole fleet, from which dominant shares are computed. */
 	private long totalAccelerators;
@@ -147,11 +147,11 @@
 	 * The capacity of the empty fleet, computed again after workers joined or were lost.
 	 * @return the capacity
 	 */
-	FleetCapacity capacities() {
-		if (this.capacities == null) {
-			this.capacities = new FleetCapacity(this.racksByOrdinal);
+	FleetCapacity emptyCapacity() {
+		if (this.emptyCapacity == null) {
+			this.emptyCapacity = new FleetCapacity(this.racksByOrdinal);
 		}
-		return this.capacities;
+		return this.emptyCapacity;
 	}
 
 	void markLeaving(WorkerNode node) {
@@ -302,7 +302,7 @@
 	}
 
 	private void addToTotals(WorkerNode node, int factor) {
-		this.capacities = null;
+		this.emptyCapacity = null;
 		if (!node.present) {
 			return;
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeAllocator.java
@@ -33,10 +33,10 @@
 
 	/** Closest adjacency first, then the largest shape. */
 	private static final Comparator<GuaranteeReservation> TIGHTEST_FIRST = Comparator
-		.comparing((GuaranteeReservation spot) -> spot.shape.adjacency())
-		.thenComparing((spot) -> -spot.shape.total().accelerators())
-		.thenComparing((spot) -> -spot.shape.total().cores())
-		.thenComparing((spot) -> spot.customer);
+		.comparing((GuaranteeReservation reservation) -> reservation.shape.adjacency())
+		.thenComparing((reservation) -> -reservation.shape.total().accelerators())
+		.thenComparing((reservation) -> -reservation.shape.total().cores())
+		.thenComparing((reservation) -> reservation.customer);
 
 	/**
 	 * Moving every reservation is expensive; within this interval after a rebuild,
