--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
@@ -57,7 +57,7 @@
 		List<String> sentences = new ArrayList<>();
 		for (GuaranteeReservation reservation : this.guaranteeAllocator.unplaced()) {
 			sentences.add("Customer " + reservation.customer + " could not reclaim " + describeShape(reservation.shape)
-					+ " until workers or zones come back.");
+					+ " until workers or zones become available again.");
 		}
 		return sentences;
 	}
@@ -121,14 +121,14 @@
 			}
 		}
 		if (fittingWorkers != null) {
-			return prefix + "; the largest that would has " + fits + " members, "
+			return prefix + "; the largest gang that fits has " + fits + " members, "
 					+ describeLocation(shape, fittingWorkers.get(0));
 		}
 		for (int accelerators = shape.perMember().accelerators() - 1; accelerators > 0; accelerators--) {
 			Resources need = new Resources(accelerators, shape.perMember().cores(), shape.perMember().memoryMb());
 			List<WorkerNode> workers = findWorkers(need, shape.members(), shape);
 			if (workers != null) {
-				return prefix + "; the largest that would has " + accelerators + " accelerators a member, "
+				return prefix + "; the largest gang that fits has " + accelerators + " accelerators per member, "
 						+ describeLocation(shape, workers.get(0));
 			}
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobReservations.java
@@ -184,7 +184,7 @@
 			worker.reservation = reservation;
 		}
 		reservation.job()
-			.say("A place is kept for it and is expected to be free in about "
+			.say("Capacity is reserved for it and is expected to be free in about "
 					+ Math.max(0, (reservation.readyAtMillis() - this.context.now) / 1000) + " s.");
 	}
 
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -42,7 +42,8 @@
 					.stream()
 					.filter((reservation) -> reservation.shape.equals(guarantee.shape()) && reservation.isPlaced())
 					.count();
-				assertThat(placed).as("spots of %s at %s", customer.id(), this.fleet.now).isEqualTo(guarantee.gangs());
+				assertThat(placed).as("placed reservations of %s at %s", customer.id(), this.fleet.now)
+					.isEqualTo(guarantee.gangs());
 			}
 		}
 	}
@@ -87,7 +88,7 @@
 			}
 		}
 		claimed.forEach((worker, sum) -> assertThat(sum.fitsIn(VirtualFleet.WORKER_CAPACITY))
-			.as("%s: spots and work that stays need %s at %s", worker, sum, this.fleet.now)
+			.as("%s: reservations and non-repeatable work need %s at %s", worker, sum, this.fleet.now)
 			.isTrue());
 	}
 
@@ -115,7 +116,8 @@
 				.stream()
 				.filter((place) -> place.info.id().equals(worker))
 				.count();
-			assertThat(sum.fitsIn(reservation.shape.perMember().times((int) members))).as("use of a spot on %s", worker)
+			assertThat(sum.fitsIn(reservation.shape.perMember().times((int) members)))
+				.as("usage of a reservation on %s", worker)
 				.isTrue();
 		});
 	}
