--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteedJobStarter.java
@@ -42,7 +42,8 @@
 	 * the guarantee was given. A smaller job inside a reservation would take capacity
 	 * away from the gang for which it is reserved.
 	 * @param job the job
-	 * @return true if it is urgent or about as large as a reservation that is not in use
+	 * @return true if it is urgent, about as large as a reservation that is not in use,
+	 * or within the customer's guarantees and allowed to use a part of a reservation
 	 */
 	boolean mayReclaimImmediately(JobState job) {
 		List<GuaranteeReservation> reservations = this.guaranteeAllocator.reservations(job.spec.customer());
