--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeFeasibilityCheck.java
@@ -13,9 +13,10 @@
 import org.almondmount.model.Resources;
 
 /**
- * All guaranteed shapes of a configuration laid out at once on the empty fleet, zones
- * that are out left out. The layout is greedy, in two orders; a configuration that only a
- * cleverer search could lay out is reported as one that does not fit. Not thread-safe.
+ * Checks whether all guaranteed shapes of a configuration fit on the empty fleet at the
+ * same time. Zones that are out are not used. The layout is computed greedily, in two
+ * orders, so a configuration that only a more thorough search could lay out is reported
+ * as not fitting. Not thread-safe.
  */
 final class GuaranteeFeasibilityCheck {
 
@@ -49,21 +50,22 @@
 	}
 
 	/**
-	 * A sentence for each guaranteed gang without a place.
-	 * @return the sentences
+	 * Describes each guaranteed gang that could not be placed.
+	 * @return one sentence for each of these gangs
 	 */
 	List<String> describeUnplaced() {
 		List<String> sentences = new ArrayList<>();
 		for (GuaranteeReservation reservation : this.guaranteeAllocator.unplaced()) {
 			sentences.add("Customer " + reservation.customer + " could not reclaim " + describeShape(reservation.shape)
-					+ " until workers or zones come back.");
+					+ " until workers or zones become available again.");
 		}
 		return sentences;
 	}
 
 	/**
-	 * Says which shape does not fit, the largest that would, and where.
-	 * @param preferredCustomer the customer whose change is planned
+	 * Describes a shape that does not fit, the largest shape that would, and where.
+	 * @param preferredCustomer the customer whose change is planned; its shapes are
+	 * reported in preference to others
 	 * @return a sentence
 	 */
 	String explainMisfit(CustomerId preferredCustomer) {
@@ -119,14 +121,14 @@
 			}
 		}
 		if (fittingWorkers != null) {
-			return prefix + "; the largest that would has " + fits + " members, "
+			return prefix + "; the largest gang that fits has " + fits + " members, "
 					+ describeLocation(shape, fittingWorkers.get(0));
 		}
 		for (int accelerators = shape.perMember().accelerators() - 1; accelerators > 0; accelerators--) {
 			Resources need = new Resources(accelerators, shape.perMember().cores(), shape.perMember().memoryMb());
 			List<WorkerNode> workers = findWorkers(need, shape.members(), shape);
 			if (workers != null) {
-				return prefix + "; the largest that would has " + accelerators + " accelerators a member, "
+				return prefix + "; the largest gang that fits has " + accelerators + " accelerators per member, "
 						+ describeLocation(shape, workers.get(0));
 			}
 		}
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -17,9 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Checks a scheduler from outside, slowly: it works everything out anew from what the
- * workers hold and from where the scheduler says that its spots lie, and trusts none of
- * the scheduler's sums.
+ * Checks the invariants of a scheduler independently of its own sums: everything is
+ * computed again from the tasks on the workers and the workers of the reservations. Slow.
  */
 final class ReclaimChecker {
 
@@ -43,7 +42,8 @@
 					.stream()
 					.filter((reservation) -> reservation.shape.equals(guarantee.shape()) && reservation.isPlaced())
 					.count();
-				assertThat(placed).as("spots of %s at %s", customer.id(), this.fleet.now).isEqualTo(guarantee.gangs());
+				assertThat(placed).as("placed reservations of %s at %s", customer.id(), this.fleet.now)
+					.isEqualTo(guarantee.gangs());
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 			}
 		}
 		claimed.forEach((worker, sum) -> assertThat(sum.fitsIn(VirtualFleet.WORKER_CAPACITY))
-			.as("%s: spots and work that stays need %s at %s", worker, sum, this.fleet.now)
+			.as("%s: reservations and non-repeatable work need %s at %s", worker, sum, this.fleet.now)
 			.isTrue());
 	}
 
@@ -116,7 +116,8 @@
 				.stream()
 				.filter((place) -> place.info.id().equals(worker))
 				.count();
-			assertThat(sum.fitsIn(reservation.shape.perMember().times((int) members))).as("use of a spot on %s", worker)
+			assertThat(sum.fitsIn(reservation.shape.perMember().times((int) members)))
+				.as("usage of a reservation on %s", worker)
 				.isTrue();
 		});
 	}
