--- a/core/src/main/java/org/almondmount/jobs/Assignment.java
+++ b/core/src/main/java/org/almondmount/jobs/Assignment.java
@@ -3,10 +3,10 @@
 import org.almondmount.model.WorkerId;
 
 /**
- * One member of a gang and the worker that it was given.
+ * A gang member and the worker that it is assigned to.
  *
- * @param member the member's number, from 0
- * @param worker its worker
+ * @param member the index of the member, starting at 0
+ * @param worker the assigned worker
  */
 public record Assignment(int member, WorkerId worker) {
 
--- a/core/src/main/java/org/almondmount/jobs/Attempt.java
+++ b/core/src/main/java/org/almondmount/jobs/Attempt.java
@@ -3,11 +3,11 @@
 import org.almondmount.model.JobId;
 
 /**
- * One try at running a job. Only the current attempt's reports count; a higher number
- * fences a lower one.
+ * An attempt to run a job. Only reports of the current attempt are accepted; a higher
+ * attempt number fences off all lower ones.
  *
  * @param job the job
- * @param number from 1, growing by one with each placement
+ * @param number the attempt number, starting at 1 and incremented with each placement
  */
 public record Attempt(JobId job, int number) {
 
--- a/core/src/main/java/org/almondmount/jobs/JobFeature.java
+++ b/core/src/main/java/org/almondmount/jobs/JobFeature.java
@@ -1,40 +1,42 @@
 package org.almondmount.jobs;
 
 /**
- * A policy of the job scheduler that can be switched off singly, so that what it earns
- * can be measured. Guarantees, whole gangs, zones and fencing are no features: they
- * always hold.
+ * A policy of the job scheduler that can be disabled individually, so that its benefit
+ * can be measured. Guarantees, all-or-nothing gangs, zones and fencing are always
+ * enforced and can't be disabled.
  */
 public enum JobFeature {
 
-	/** Customers take turns by weighted dominant share; without it, by submission. */
+	/** Orders customers by weighted dominant share; without it, by submission. */
 	FAIR_SHARE,
 
-	/** A job that has waited long is helped first and has room reserved first. */
+	/** Jobs that have waited long are unblocked first and get reservations first. */
 	AGING,
 
-	/** A job that fits may start before an older one that does not. */
+	/** A job that fits may start before an older job that does not. */
 	BACKFILL,
 
-	/** A large gang that has waited gets a place that others may use only in between. */
+	/**
+	 * Reserves workers for a large gang that has waited; others may only backfill them.
+	 */
 	RESERVATION,
 
-	/** Small work goes onto workers and racks that are already broken. */
+	/** Places small work on workers and racks that are already partly used. */
 	PACKING,
 
-	/** Borrowers avoid spots of guaranteed shapes, above all right after a reclaim. */
+	/** Borrowers avoid guarantee reservations, especially right after a reclaim. */
 	SPOT_KEEPING,
 
-	/** Borrowers are moved out of the way of other customers' fair share. */
+	/** Borrowers are preempted so that other customers get their fair share. */
 	PREEMPTION,
 
-	/** Small work is moved so that a waiting gang finds adjacent room. */
+	/** Small work is moved so that a waiting gang gets adjacent capacity. */
 	DEFRAGMENTATION,
 
-	/** Run times are learned; without it, the declared ones count. */
+	/** Learns run times from ended jobs; without it, declared run times are used. */
 	LEARNED_RUN_TIMES,
 
-	/** Workers that fail what they start are set aside. */
+	/** Quarantines workers on which tasks fail. */
 	QUARANTINE
 
 }
--- a/core/src/main/java/org/almondmount/jobs/JobLimits.java
+++ b/core/src/main/java/org/almondmount/jobs/JobLimits.java
@@ -5,21 +5,22 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * The bounds of the job scheduler's state and the thresholds of its policies. Immutable.
+ * Limits of the job scheduler's state and thresholds of its policies. Immutable.
  *
- * @param waitingPerCustomer jobs of one customer that may wait
- * @param waiting jobs that may wait altogether
- * @param endedKept ended jobs that are kept for listings
- * @param healthyWorkersTried different healthy workers on which a job may fail before it
- * is given up
- * @param agingAfter how long a job waits before it goes first
- * @param reservationAfter how long a gang waits before a place is kept for it
- * @param preemptionCooldown how long a job is left alone after it was preempted or moved
+ * @param waitingPerCustomer the maximum number of waiting jobs per customer
+ * @param waiting the maximum number of waiting jobs of all customers
+ * @param endedKept the number of ended jobs that are retained for listings
+ * @param healthyWorkersTried the number of different healthy workers on which a job may
+ * fail before it ends as failed
+ * @param agingAfter how long a job waits before it takes precedence
+ * @param reservationAfter how long a gang waits before workers are reserved for it
+ * @param preemptionCooldown how long a job that was preempted or moved is exempt from
+ * another preemption or move
  */
 public record JobLimits(int waitingPerCustomer, int waiting, int endedKept, int healthyWorkersTried,
 		Duration agingAfter, Duration reservationAfter, Duration preemptionCooldown) {
 
-	/** What is used unless something else is asked for. */
+	/** The default limits. */
 	public static final JobLimits DEFAULT = new JobLimits(20_000, 200_000, 5_000, 3, Duration.ofMinutes(10),
 			Duration.ofSeconds(30), Duration.ofMinutes(2));
 
--- a/core/src/main/java/org/almondmount/jobs/JobOutcome.java
+++ b/core/src/main/java/org/almondmount/jobs/JobOutcome.java
@@ -1,37 +1,37 @@
 package org.almondmount.jobs;
 
 /**
- * How a member's task, or a whole job, came to its end.
+ * The outcome of a member's task or of a job.
  */
 public enum JobOutcome {
 
-	/** It ran to its end. */
+	/** The task ran to completion. */
 	SUCCEEDED,
 
-	/** Its own program failed. */
+	/** The customer's program failed. */
 	FAILED,
 
-	/** The worker could not run it. */
+	/** The worker could not run the task. */
 	WORKER_FAILED,
 
-	/** It was stopped after a checkpoint, and can go on from there. */
+	/** The task was stopped after a checkpoint from which it can be resumed. */
 	SUSPENDED,
 
-	/** It was stopped on request. */
+	/** The task was stopped on request. */
 	STOPPED,
 
-	/** Nobody can tell: the worker was lost while it ran. */
+	/** The outcome is unknown because the worker was lost while the task ran. */
 	UNKNOWN,
 
-	/** The customer cancelled it. */
+	/** The customer cancelled the job. */
 	CANCELLED,
 
-	/** It was refused after it had been accepted, and never ran. */
+	/** The job was refused after it had been accepted, and never ran. */
 	REFUSED;
 
 	/**
-	 * Whether a job that ended so will never be started again.
-	 * @return true if it will not
+	 * Whether a job with this outcome is never started again.
+	 * @return true if the outcome is final
 	 */
 	public boolean isFinal() {
 		return this == SUCCEEDED || this == CANCELLED || this == REFUSED;
--- a/core/src/main/java/org/almondmount/jobs/JobPolicy.java
+++ b/core/src/main/java/org/almondmount/jobs/JobPolicy.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * How the job scheduler decides: its features, times and limits. Immutable; changed by
- * {@code with} and {@code without}, which return a new policy.
+ * The policy of the job scheduler: its features, timeouts and limits. Immutable;
+ * {@code with} and {@code without} return a new policy.
  *
- * @param features the policies that are switched on
- * @param timeouts the times that bound each step
- * @param limits the bounds and thresholds
+ * @param features the enabled features
+ * @param timeouts the timeout of each step
+ * @param limits the limits and thresholds
  */
 public record JobPolicy(Set<JobFeature> features, JobTimeouts timeouts, JobLimits limits) {
 
-	/** Everything on. */
+	/** The default policy, with all features enabled. */
 	public static final JobPolicy DEFAULT = new JobPolicy(EnumSet.allOf(JobFeature.class), JobTimeouts.DEFAULT,
 			JobLimits.DEFAULT);
 
--- a/core/src/main/java/org/almondmount/jobs/JobScheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/JobScheduler.java
@@ -8,54 +8,53 @@
 import org.almondmount.plan.PlanEffects;
 
 /**
- * The entrance to the job decisions, stable for outside drivers.
+ * The job scheduler, a stable API for external drivers.
  * <p>
- * A driver passes each event with the time at which it happened and carries out the
- * commands in their order. Times never go back. Implementations are deterministic: the
- * same events at the same times give the same commands. Not thread-safe; one duty owns
- * it.
+ * A driver passes each event with its time and executes the returned commands in order.
+ * Times never decrease. Implementations are deterministic: the same events at the same
+ * times give the same commands. Not thread-safe; a single duty owns each instance.
  */
 public interface JobScheduler {
 
 	/**
-	 * Takes one event.
+	 * Handles an event.
 	 * @param nowMillis the driver's monotonic time in milliseconds
-	 * @param event what happened
-	 * @return what is to be done, in order
+	 * @param event the event
+	 * @return the commands to execute, in order
 	 */
 	List<JobCommand> handle(long nowMillis, JobEvent event);
 
 	/**
-	 * Works out what an intent would do, without doing it.
+	 * Computes the effects of an intent without applying it.
 	 * @param nowMillis the driver's monotonic time in milliseconds
-	 * @param intent what is wanted, applied to the last configuration heard
-	 * @return its effects
+	 * @param intent the intent, which is applied to the last configuration received
+	 * @return the effects of the intent
 	 */
 	PlanEffects preview(long nowMillis, Intent intent);
 
 	/**
-	 * The job as it stands, if it is known here.
-	 * @param job its identifier
-	 * @return the job
+	 * Returns the current state of a job.
+	 * @param job the identifier of the job
+	 * @return the job, empty if it is unknown
 	 */
 	Optional<JobView> job(JobId job);
 
 	/**
-	 * All jobs that are known here, in the order of submission.
+	 * Returns all known jobs in the order of submission.
 	 * @return the jobs
 	 */
 	List<JobView> jobs();
 
 	/**
-	 * All workers that are known here, by name.
+	 * Returns all known workers by name.
 	 * @return the workers
 	 */
 	List<WorkerView> workers();
 
 	/**
-	 * Why the job stands where it does, in sentences, newest last; empty if unknown.
-	 * @param job its identifier
-	 * @return the sentences
+	 * Explains the current state of a job in sentences, newest last.
+	 * @param job the identifier of the job
+	 * @return the sentences, empty if the job is unknown
 	 */
 	List<String> explain(JobId job);
 
--- a/core/src/main/java/org/almondmount/jobs/JobSchedulerFactory.java
+++ b/core/src/main/java/org/almondmount/jobs/JobSchedulerFactory.java
@@ -3,7 +3,7 @@
 import org.almondmount.jobs.impl.DefaultJobScheduler;
 
 /**
- * Makes job schedulers. Thread-safe; what it makes is not.
+ * Creates job schedulers. The factory is thread-safe, the created schedulers are not.
  */
 public final class JobSchedulerFactory {
 
@@ -11,8 +11,8 @@
 	}
 
 	/**
-	 * A scheduler that knows no workers, no jobs and the empty configuration.
-	 * @param policy how it decides
+	 * Creates a scheduler without workers or jobs and with an empty configuration.
+	 * @param policy the policy of the scheduler
 	 * @return the scheduler
 	 */
 	public static JobScheduler create(JobPolicy policy) {
@@ -20,7 +20,7 @@
 	}
 
 	/**
-	 * A scheduler with the default policy.
+	 * Creates a scheduler with the default policy.
 	 * @return the scheduler
 	 */
 	public static JobScheduler create() {
--- a/core/src/main/java/org/almondmount/jobs/JobTimeouts.java
+++ b/core/src/main/java/org/almondmount/jobs/JobTimeouts.java
@@ -5,26 +5,27 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * The times that bound each step of the job scheduler. Immutable.
+ * The timeouts of the steps of the job scheduler. Immutable.
  *
- * @param commit how long the table may take over a placement
- * @param prepare how long the members may take to be held
- * @param start how long the members may take to report that they run
- * @param abort how long the room of an aborted member stays booked without an answer
- * @param checkpoint how long a reclaimed member may take over its checkpoint before it is
- * stopped
- * @param rejoin how long after a change of the lease holder a worker with recovered
- * members may take to announce itself
- * @param zoneSettle how long a zone has to be out before its work is moved, so that a
- * zone that flaps moves nothing
- * @param zoneGrace how long work may run on in a zone that is out; the option
- * {@code zone-grace} of the configuration goes before it
- * @param retryPause the pause after a failure, doubled with each further one
+ * @param commit the maximum time for the table to commit a placement
+ * @param prepare the maximum time for all members to be prepared
+ * @param start the maximum time for all members to report that they run
+ * @param abort how long the capacity of an aborted member stays allocated if the worker
+ * does not answer
+ * @param checkpoint the maximum time for the checkpoint of a reclaimed member before it
+ * is stopped
+ * @param rejoin the maximum time after a change of the lease holder for a worker with
+ * recovered members to register
+ * @param zoneSettle how long a zone must be out of service before its work is moved, so
+ * that a flapping zone moves no work
+ * @param zoneGrace how long work may keep running in a zone that is out of service;
+ * overridden by the option {@code zone-grace} of the configuration
+ * @param retryPause the pause before a retry, doubled with each further failure
  */
 public record JobTimeouts(Duration commit, Duration prepare, Duration start, Duration abort, Duration checkpoint,
 		Duration rejoin, Duration zoneSettle, Duration zoneGrace, Duration retryPause) {
 
-	/** What is used unless something else is asked for. */
+	/** The default timeouts. */
 	public static final JobTimeouts DEFAULT = new JobTimeouts(Duration.ofSeconds(30), Duration.ofSeconds(3),
 			Duration.ofSeconds(10), Duration.ofSeconds(5), Duration.ofSeconds(2), Duration.ofSeconds(10),
 			Duration.ofSeconds(2), Duration.ofSeconds(30), Duration.ofSeconds(1));
--- a/core/src/main/java/org/almondmount/jobs/JobView.java
+++ b/core/src/main/java/org/almondmount/jobs/JobView.java
@@ -6,13 +6,13 @@
 import org.almondmount.model.JobSpec;
 
 /**
- * A job as it stands now, for listings.
+ * The current state of a job, for listings.
  *
- * @param job its identifier
- * @param spec what was submitted
- * @param phase where it stands
+ * @param job the identifier of the job
+ * @param spec the submitted specification
+ * @param phase the current phase
  * @param attempt the current or last attempt, 0 before the first
- * @param placement the members' workers, empty while it waits
+ * @param placement the workers of the members, empty while the job waits
  * @param explanation a sentence that explains the phase
  * @param sinceMillis when the phase began, in the driver's time
  */
@@ -20,23 +20,23 @@
 		long sinceMillis) {
 
 	/**
-	 * Where a job stands.
+	 * The phase of a job.
 	 */
 	public enum Phase {
 
-		/** Waits for a place. */
+		/** The job waits for a placement. */
 		WAITING,
 
 		/** A placement is being committed or its members are being prepared. */
 		STARTING,
 
-		/** All members run. */
+		/** All members are running. */
 		RUNNING,
 
 		/** Members are being checkpointed or stopped. */
 		STOPPING,
 
-		/** It has its final ending. */
+		/** The job has its final outcome. */
 		ENDED
 
 	}
--- a/core/src/main/java/org/almondmount/jobs/WorkerView.java
+++ b/core/src/main/java/org/almondmount/jobs/WorkerView.java
@@ -4,12 +4,12 @@
 import org.almondmount.model.WorkerInfo;
 
 /**
- * A worker as the scheduler sees it, for listings.
+ * The scheduler's view of a worker, for listings.
  *
- * @param worker where it stands and what it has
- * @param free what is neither used nor held
+ * @param worker the location and capacity of the worker
+ * @param free the resources that are neither used nor held
  * @param state {@code up}, {@code leaving}, {@code quarantined} or {@code probation}
- * @param tasks members that are placed on it
+ * @param tasks the number of members that are placed on the worker
  */
 public record WorkerView(WorkerInfo worker, Resources free, String state, int tasks) {
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Admission.java
@@ -11,7 +11,7 @@
 import org.almondmount.model.Resources;
 
 /**
- * Says on submission whether a job is taken in. Not thread-safe.
+ * Decides on submission whether a job is accepted. Not thread-safe.
  */
 final class Admission {
 
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * Why a job is refused, if it is.
+	 * Checks whether a job has to be refused.
 	 * @param spec the job
-	 * @return the refusal
+	 * @return the refusal, empty if the job is accepted
 	 */
 	Optional<Refusal> refusal(JobSpec spec) {
 		int waitingOfCustomer = this.waiting.customer(spec.customer()).waitingCount;
@@ -54,10 +54,11 @@
 	}
 
 	/**
-	 * What keeps a gang from fitting the empty fleet, zones that are out included because
-	 * they come back. Nothing can be said while no worker is known.
+	 * Explains why a gang could not fit even the empty fleet. Zones that are out of
+	 * service count as available because they come back. While no worker is known, every
+	 * gang is assumed to fit.
 	 * @param shape the gang
-	 * @return the result
+	 * @return the explanation, empty if the gang may fit
 	 */
 	private Optional<String> neverFitsDetail(GangShape shape) {
 		Capacities capacities = this.fleet.capacities();
--- a/core/src/main/java/org/almondmount/jobs/impl/CustomerQueue.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/CustomerQueue.java
@@ -6,7 +6,7 @@
 import org.almondmount.model.CustomerId;
 
 /**
- * One customer's waiting jobs and what it has now. Mutable, not thread-safe.
+ * The waiting jobs of a customer and its current usage. Mutable, not thread-safe.
  */
 final class CustomerQueue {
 
@@ -16,20 +16,17 @@
 
 	final Map<ShapeQueue.Key, ShapeQueue> shapes = new LinkedHashMap<>();
 
-	/** What its members have or are promised, borrowed room included. */
+	/** The resources allocated to its members, including borrowed ones. */
 	final Amount used = new Amount();
 
 	double weight = 1;
 
 	int waitingCount;
 
-	/** Counts the changes of what it has and of its spots. */
+	/** The number of changes of its usage and of its guarantee reservations. */
 	long changeCount;
 
-	/**
-	 * The weighted mean of its share over the last minutes, as of
-	 * {@link #averageShareAt}.
-	 */
+	/** The exponential moving average of its share at {@link #averageShareAt}. */
 	private double averageShare;
 
 	private long averageShareAt;
@@ -39,19 +36,19 @@
 	}
 
 	/**
-	 * Its mean share over the last minutes.
+	 * Returns the customer's exponentially averaged share over the last minutes.
 	 * @param now the time in milliseconds
-	 * @param share its share since the last call of {@link #updateAverageShare}
-	 * @return the mean
+	 * @param share the share since the last call of {@link #updateAverageShare}
+	 * @return the average share
 	 */
 	double averageShare(long now, double share) {
 		return share + (this.averageShare - share) * Math.exp(-(now - this.averageShareAt) / SHARE_AVERAGING_MILLIS);
 	}
 
 	/**
-	 * Its share is about to change.
+	 * Updates the average share; must be called before the share changes.
 	 * @param now the time in milliseconds
-	 * @param share its share until now
+	 * @param share the share before the change
 	 */
 	void updateAverageShare(long now, double share) {
 		this.averageShare = averageShare(now, share);
@@ -59,8 +56,8 @@
 	}
 
 	/**
-	 * The place in the order of submission of its first waiting job.
-	 * @return the order, {@link Long#MAX_VALUE} if none waits
+	 * Returns the submission order of its first waiting job.
+	 * @return the submission order, {@link Long#MAX_VALUE} if no job waits
 	 */
 	long firstSubmissionOrder() {
 		long first = Long.MAX_VALUE;
--- a/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
@@ -28,8 +28,8 @@
 import org.almondmount.plan.PlanEffects;
 
 /**
- * The job scheduler: passes each event to the part that it concerns, then has waiting
- * jobs placed. Not thread-safe.
+ * The default job scheduler: dispatches each event to the responsible part, then places
+ * waiting jobs. Not thread-safe.
  */
 public final class DefaultJobScheduler implements JobScheduler {
 
@@ -177,10 +177,11 @@
 	}
 
 	/**
-	 * Reports of attempts that are neither current nor still booked are ignored.
+	 * Passes the member of a reported attempt to an action. Reports of attempts that are
+	 * neither current nor still allocated are ignored.
 	 * @param attempt the attempt
-	 * @param index the member's number
-	 * @param action what to do with it
+	 * @param index the index of the member
+	 * @param action the action for the member
 	 */
 	private void withMember(Attempt attempt, int index, Consumer<Member> action) {
 		JobState job = this.registry.job(attempt.job());
--- a/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Dispatcher.java
@@ -10,25 +10,26 @@
 import org.almondmount.model.Urgency;
 
 /**
- * Gives waiting jobs their places, in the order of the policy. Not thread-safe.
+ * Places waiting jobs in the order defined by the policy. Not thread-safe.
  */
 final class Dispatcher {
 
 	/**
-	 * Most placements for one event: a burst must not hold up the event behind it.
+	 * The maximum number of placements per event, so that a burst does not delay the next
+	 * event.
 	 */
 	private static final int MAX_PLACEMENTS_PER_EVENT = 16;
 
-	/** Above this many changed workers every waiting shape is tried again. */
+	/** If more workers than this changed, every waiting shape is tried again. */
 	private static final int MAX_WORKERS_CHECKED_SINGLY = 24;
 
-	/** How long a job keeps away from workers on which it failed. */
+	/** How long a job avoids workers on which it failed. */
 	private static final long FAILED_WORKER_AVOIDANCE_MILLIS = 60_000;
 
-	/** Work without accelerators keeps to spare cores for so long. */
+	/** How long work without accelerators is limited to spare cores. */
 	private static final long SPARE_CORES_ONLY_MILLIS = 10_000;
 
-	/** The share of a worker's cores that is kept for its free accelerators. */
+	/** The share of a worker's cores that is reserved for its free accelerators. */
 	private static final double CORE_SHARE_FOR_ACCELERATORS = 0.75;
 
 	private final SchedulerContext context;
@@ -74,9 +75,9 @@
 	}
 
 	/**
-	 * Starts a job where there is room for it now.
+	 * Starts a job if there is free capacity for it now.
 	 * @param job the job
-	 * @return whether it was started
+	 * @return whether the job was started
 	 */
 	boolean start(JobState job) {
 		boolean fillsReservation = this.guaranteedJobStarter.isWholeSpot(job);
@@ -93,17 +94,19 @@
 		return true;
 	}
 
-	// An urgent task would wait for a borrower's checkpoint although room is free that is
-	// no spot of its owner; it takes that room, and has others leave only without it.
+	// Without this an urgent task would wait for a borrower's checkpoint although there
+	// is free capacity outside its owner's reservations. The task uses that capacity and
+	// evicts borrowers only if there is none.
 	private static boolean isUrgentSingleTask(JobState job) {
 		return job.spec.urgency() == Urgency.URGENT && job.spec.shape().members() == 1;
 	}
 
 	/**
-	 * What a customer has and had lately, over its weight. What it had counts as well, so
-	 * that a customer whose gangs are larger than its share gets its turn in the mean.
+	 * The mean of a customer's current and recent dominant share, divided by its weight.
+	 * Recent usage counts so that a customer whose gangs are larger than its share gets
+	 * its share on average.
 	 * @param customer the customer
-	 * @return the result
+	 * @return the weighted share
 	 */
 	double weightedShare(CustomerQueue customer) {
 		double share = this.fleet.dominantShare(customer.used);
@@ -205,12 +208,12 @@
 	}
 
 	/**
-	 * Whether a task without accelerators leaves enough cores for the accelerators that
-	 * are free. Without this, such tasks take all cores of a worker whose accelerators
-	 * then nobody can use.
+	 * Whether a task without accelerators leaves enough cores for the free accelerators.
+	 * Otherwise such tasks could take all cores of a worker and make its accelerators
+	 * unusable.
 	 * @param worker the worker
-	 * @param need what each task needs
-	 * @return true if so
+	 * @param need the resources of each task
+	 * @return true if enough cores are left
 	 */
 	private static boolean leavesEnoughCores(WorkerNode worker, Resources need) {
 		int accelerators = worker.capacity().accelerators();
@@ -222,8 +225,9 @@
 	}
 
 	/**
-	 * Where the first job of a shape stands in the order: what may have others leave,
-	 * then the customer with the smallest share, then its urgent work, then submission.
+	 * The priority of the first job of a shape: first jobs that may reclaim reserved
+	 * capacity (urgent ones first), then by smallest share of the customer, then urgent
+	 * jobs, then by submission.
 	 */
 	private record DispatchPriority(boolean mayReclaim, boolean urgent, double share,
 			long submissionOrder) implements Comparable<DispatchPriority> {
--- a/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
@@ -15,23 +15,23 @@
 import org.almondmount.model.Resources;
 
 /**
- * Finds places that a gang could have if borrowers left, and the borrowers whose leaving
- * loses the least work. Not thread-safe.
+ * Finds workers that a gang could use if borrowers were evicted, and the borrowers whose
+ * eviction loses the least work. Not thread-safe.
  */
 final class Evictor {
 
-	/** Racks or workers that are compared for one gang. */
+	/** The maximum number of racks that are compared for a gang. */
 	private static final int MAX_CANDIDATES = 12;
 
-	/** Racks over which a gang of a zone may spread. */
+	/** The maximum number of racks that are considered for a gang. */
 	private static final int MAX_RACKS_PER_GANG = 128;
 
-	/** What a checkpoint and the restart from it cost, in seconds. */
+	/** The cost of a checkpoint and of the restart from it, in seconds. */
 	private static final double RESTART_COST_SECONDS = 3;
 
 	/**
-	 * What it costs to take a place away before the work has started: others may have
-	 * left for it.
+	 * The cost of evicting work that has not started yet, in seconds: others may have
+	 * been evicted for it.
 	 */
 	private static final double BEFORE_START_COST_SECONDS = 20;
 
@@ -49,13 +49,13 @@
 	}
 
 	/**
-	 * The place whose clearing loses the least.
+	 * Finds the workers that can be cleared with the least loss.
 	 * @param shape the gang
-	 * @param capacityView {@link Room#RECLAIMABLE} for work that stays,
+	 * @param capacityView {@link Room#RECLAIMABLE} for protected work,
 	 * {@link Room#EVICTABLE} for work that borrows
-	 * @param evictable whether an attempt may be made to leave
+	 * @param evictable whether an attempt may be evicted
 	 * @param usable whether a worker may be used
-	 * @return the place and who has to leave, null if there is none
+	 * @return the workers and the attempts to evict, null if there are none
 	 */
 	Eviction cheapest(GangShape shape, Room capacityView, Predicate<Gang> evictable, Predicate<WorkerNode> usable) {
 		Eviction best = null;
@@ -73,11 +73,11 @@
 	}
 
 	/**
-	 * Who has to leave for a gang to have given places.
+	 * Finds the attempts to evict so that a gang can use the given workers.
 	 * @param shape the gang
 	 * @param workers a worker for each member
-	 * @param evictable whether an attempt may be made to leave
-	 * @return the attempts, null if their leaving would not be enough
+	 * @param evictable whether an attempt may be evicted
+	 * @return the eviction, null if evicting them would not free enough
 	 */
 	Eviction victims(GangShape shape, List<WorkerNode> workers, Predicate<Gang> evictable) {
 		Map<WorkerNode, Integer> membersPerWorker = new LinkedHashMap<>();
@@ -99,8 +99,8 @@
 	}
 
 	/**
-	 * The work that is lost when an attempt is preempted, in accelerator seconds; a
-	 * processor core counts for an eighth of an accelerator.
+	 * The work that is lost when an attempt is preempted, in accelerator seconds; a CPU
+	 * core counts as an eighth of an accelerator.
 	 * @param gang the attempt
 	 * @return the loss
 	 */
@@ -193,12 +193,12 @@
 	}
 
 	/**
-	 * Racks with the most free slots first, then others; all of them if that many are
-	 * asked for.
+	 * Returns racks with the most free slots first, then other racks up to the limit,
+	 * starting at a position that varies with the time.
 	 * @param keys the racks by free slots
 	 * @param all the racks to choose from
-	 * @param limit how many are wanted
-	 * @return the result
+	 * @param limit the maximum number of racks
+	 * @return the racks
 	 */
 	private List<RackNode> racksByFreeSlots(NavigableSet<Long> keys, List<RackNode> all, int limit) {
 		Set<RackNode> racks = new LinkedHashSet<>();
@@ -226,10 +226,10 @@
 	}
 
 	/**
-	 * Racks with the most free slots that hold the gang twice over, so that there is some
-	 * choice and the search stays small.
+	 * Returns the racks with the most free slots that together can hold twice the gang,
+	 * so that there is some choice while the search stays small.
 	 * @param shape the gang
-	 * @param possible the slots that can be had
+	 * @param possible the slots that can be made available
 	 * @param keys the racks by free slots
 	 * @param all the racks to choose from
 	 * @return the racks
@@ -258,12 +258,13 @@
 	}
 
 	/**
-	 * Free slots of all workers first, then those that others would have to leave.
+	 * Assigns members to the free slots of all workers first, then to slots whose users
+	 * would have to be evicted.
 	 * @param shape the gang
-	 * @param capacityView which room counts
+	 * @param capacityView the capacity that can be used
 	 * @param usable whether a worker may be used
 	 * @param workers the workers
-	 * @return the result
+	 * @return a worker for each member, null if the gang does not fit
 	 */
 	private List<WorkerNode> assignWorkers(GangShape shape, Room capacityView, Predicate<WorkerNode> usable,
 			List<WorkerNode> workers) {
@@ -301,11 +302,11 @@
 	}
 
 	/**
-	 * A place and who has to leave it.
+	 * The workers for a gang and the attempts that have to be evicted from them.
 	 *
 	 * @param workers a worker for each member
-	 * @param victims the attempts that have to leave
-	 * @param loss what that loses, in accelerator seconds
+	 * @param victims the attempts to evict
+	 * @param loss the work lost by the eviction, in accelerator seconds
 	 */
 	record Eviction(List<WorkerNode> workers, Set<Gang> victims, double loss) {
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
@@ -8,7 +8,7 @@
 import org.almondmount.model.GangShape;
 
 /**
- * Says in sentences why a job stands where it does. Not thread-safe.
+ * Explains in sentences the current state of a job. Not thread-safe.
  */
 final class Explainer {
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Gang.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Gang.java
@@ -3,35 +3,36 @@
 import org.almondmount.jobs.Attempt;
 
 /**
- * One attempt at running a job: its members and how far they are. Mutable, not
- * thread-safe.
+ * An attempt to run a job: its members and their progress. Mutable, not thread-safe.
  */
 final class Gang {
 
 	/**
-	 * How far an attempt is.
+	 * The stage of an attempt.
 	 */
 	enum Stage {
 
-		/** Waits for borrowers to leave the room that it was promised. */
+		/** Waits for borrowers to be evicted from the allocated workers. */
 		AWAITING_EVICTION,
 
-		/** The placement is being written. */
+		/** The placement is being written to the table. */
 		COMMITTING,
 
-		/** Members are being held. */
+		/** Workers are reserving capacity for the members. */
 		PREPARING,
 
-		/** Members were told to start. */
+		/** Start commands were sent to the members. */
 		STARTING,
 
-		/** All members run. */
+		/** All members are running. */
 		RUNNING,
 
-		/** Members were told to checkpoint or stop; the job is decided when they have. */
+		/**
+		 * Members are being checkpointed or stopped; the outcome follows when all ended.
+		 */
 		STOPPING,
 
-		/** Given up; only its room is still booked where an answer is outstanding. */
+		/** Abandoned; resources stay allocated only while an answer is outstanding. */
 		ABANDONED
 
 	}
@@ -44,10 +45,10 @@
 
 	Stage stage;
 
-	/** Whether nobody else may preempt it. */
+	/** Whether the attempt is protected from preemption by other customers. */
 	boolean preemptionProtected;
 
-	/** The spot of its owner's guarantee that it runs in, null outside. */
+	/** The owner's guarantee reservation in which it runs, null if outside. */
 	Spot guaranteeReservation;
 
 	int preparedCount;
@@ -60,13 +61,13 @@
 
 	long stageSince;
 
-	/** When all members were known to run, 0 before. */
+	/** When all members were known to run, 0 before that. */
 	long runningSince;
 
-	/** When all members had last checkpointed, 0 if never in this attempt. */
+	/** When the last checkpoint of all members completed, 0 if none in this attempt. */
 	long lastCheckpointAt;
 
-	/** Why it is being stopped. */
+	/** Why the attempt is being stopped. */
 	String stopReason = "";
 
 	Gang(JobState job, int number, int members) {
@@ -76,16 +77,17 @@
 	}
 
 	/**
-	 * Whether its tasks were told to start and not yet to end.
-	 * @return true if so
+	 * Whether its tasks were commanded to start and not yet to stop.
+	 * @return true if the attempt is starting or running
 	 */
 	boolean isActive() {
 		return this.stage == Stage.STARTING || this.stage == Stage.RUNNING;
 	}
 
 	/**
-	 * Whether a member may have run: told to start, and not known to have refused.
-	 * @return true if it may
+	 * Whether a member may have run: its start was sent and its worker did not report
+	 * that it never ran.
+	 * @return true if a member may have run
 	 */
 	boolean mayHaveRun() {
 		for (Member member : this.members) {
--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -10,12 +10,12 @@
 import org.almondmount.model.Resources;
 
 /**
- * Takes attempts through their steps: commit, prepare, start, run; and out of them, whole
- * in each case. Not thread-safe.
+ * Drives attempts through their stages: commit, prepare, start, run, and stop. All
+ * members of a gang change stage together. Not thread-safe.
  */
 final class GangRunner {
 
-	/** The pause grows to 256 times the first one. */
+	/** The pause grows to at most 256 times the initial pause. */
 	private static final int MAX_DOUBLINGS = 8;
 
 	private final SchedulerContext context;
@@ -32,7 +32,7 @@
 
 	private final RunTimeEstimator runTimeEstimator;
 
-	/** Attempts that go on once starts are allowed again. */
+	/** Attempts that continue when starts are allowed again. */
 	private final List<Gang> deferred = new ArrayList<>();
 
 	GangRunner(SchedulerContext context, Fleet fleet, JobRegistry registry, WaitingJobs waiting,
@@ -47,10 +47,11 @@
 	}
 
 	/**
-	 * Begins the next attempt of a waiting job.
+	 * Launches the next attempt of a waiting job.
 	 * @param job the job
 	 * @param workers a worker for each member
-	 * @param reservation the spot of its owner's guarantee in which it runs, null outside
+	 * @param reservation the owner's guarantee reservation in which it runs, null if
+	 * outside
 	 * @return the attempt
 	 */
 	Gang launch(JobState job, List<WorkerNode> workers, Spot reservation) {
@@ -85,7 +86,7 @@
 	}
 
 	/**
-	 * Commits the placement if the room that it was promised is free by now.
+	 * Commits the placement if the allocated capacity is free.
 	 * @param gang the attempt
 	 */
 	void commitIfFree(Gang gang) {
@@ -154,7 +155,7 @@
 		}
 	}
 
-	/** Goes on with what was held while starts were not allowed. */
+	/** Resumes the attempts that were deferred while starts were not allowed. */
 	void resumeDeferred() {
 		List<Gang> resumed = new ArrayList<>(this.deferred);
 		this.deferred.clear();
@@ -166,8 +167,8 @@
 	}
 
 	/**
-	 * Ends an attempt that did not get whole, or is not whole any more: every member is
-	 * told to let go, and the job waits again or has its ending.
+	 * Ends an attempt that did not start completely or has lost a member: every member is
+	 * aborted, and the job is requeued or finished.
 	 * @param gang the attempt
 	 * @param reason the reason, a sentence
 	 * @param pauseBeforeRetry whether the job pauses before its next attempt
@@ -183,7 +184,7 @@
 	}
 
 	/**
-	 * Tells every member to let go; their room stays booked until they have.
+	 * Aborts every member; their resources stay allocated until they are released.
 	 * @param gang the attempt
 	 */
 	void abandon(Gang gang) {
@@ -210,11 +211,11 @@
 	}
 
 	/**
-	 * Has a running attempt checkpoint and end, or stop if it can't checkpoint. Decided
-	 * when all members have ended.
+	 * Checkpoints and ends a running attempt, or stops it if it can't checkpoint. The
+	 * outcome of the attempt is decided when all members have ended.
 	 * @param gang the attempt
 	 * @param reason the reason, a sentence
-	 * @param timeoutMillis how long the checkpoint may take
+	 * @param timeoutMillis the maximum time for the checkpoint
 	 */
 	void suspend(Gang gang, String reason, long timeoutMillis) {
 		if (gang.stage != Gang.Stage.RUNNING && gang.stage != Gang.Stage.STARTING) {
@@ -238,7 +239,7 @@
 	}
 
 	/**
-	 * Has borrowers leave for somebody who goes before them.
+	 * Evicts attempts in favor of a job that takes precedence.
 	 * @param victims the attempts
 	 * @param reason the reason, a sentence
 	 */
@@ -257,15 +258,15 @@
 	}
 
 	/**
-	 * A worker says that a member is over.
+	 * Handles a worker's report that a member has ended.
 	 * @param member the member
-	 * @param outcome how it ended
+	 * @param outcome the outcome of the member
 	 */
 	void onMemberEnded(Member member, JobOutcome outcome) {
 		Gang gang = member.gang;
 		if (outcome == JobOutcome.SUCCEEDED) {
-			// The report of its start may have been lost; without it the gang would be
-			// given up as late to start although a member has done its work.
+			// The report of its start may have been lost. Without it, the gang would be
+			// abandoned by the start timeout although a member has completed.
 			onMemberStarted(member);
 		}
 		if (member.outcome == null) {
@@ -303,7 +304,8 @@
 	}
 
 	/**
-	 * A member's checkpoint is safe; the job can go on from there once all members' are.
+	 * Handles a member's stored checkpoint. The job can resume from it once the
+	 * checkpoints of all members are stored.
 	 * @param member the member
 	 */
 	void onMemberCheckpointed(Member member) {
@@ -325,7 +327,7 @@
 	}
 
 	/**
-	 * A worker says that nothing of a member ran there.
+	 * Handles a worker's report that a member never ran.
 	 * @param member the member
 	 * @param reason the reason, a sentence
 	 */
@@ -345,7 +347,7 @@
 	}
 
 	/**
-	 * A worker is gone, and the member with it.
+	 * Handles the loss of a member together with its worker.
 	 * @param member the member
 	 */
 	void onMemberLost(Member member) {
@@ -420,8 +422,8 @@
 	}
 
 	/**
-	 * Ends the booking of members that never answered. The worker's own lease for the
-	 * task has run out by then, so that the room is really free.
+	 * Releases the allocations of members that never answered. By then the worker's own
+	 * lease for the task has expired, so that the capacity is actually free.
 	 * @param gang the attempt
 	 */
 	private void releaseUnanswered(Gang gang) {
--- a/core/src/main/java/org/almondmount/jobs/impl/JobRegistry.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/JobRegistry.java
@@ -12,7 +12,7 @@
 import org.almondmount.model.JobSpec;
 
 /**
- * All jobs that are known, and their way between waiting and their ending. Not
+ * The registry of all known jobs, with the transitions between waiting and ended. Not
  * thread-safe.
  */
 final class JobRegistry {
@@ -48,8 +48,8 @@
 	}
 
 	/**
-	 * Puts a job in the queue as soon as its pause is over and its former attempts are
-	 * gone from their workers.
+	 * Queues a job as soon as its pause is over and its previous attempts are released by
+	 * their workers.
 	 * @param job a job without a current attempt
 	 */
 	void enqueue(JobState job) {
@@ -64,10 +64,10 @@
 	}
 
 	/**
-	 * Has a job wait again, whole.
+	 * Queues a job again as a whole.
 	 * @param gang the attempt that is over
 	 * @param reason the reason, a sentence
-	 * @param pauseMillis how long it may not start
+	 * @param pauseMillis how long the job pauses before it may start
 	 */
 	void requeue(Gang gang, String reason, long pauseMillis) {
 		JobState job = gang.job;
--- a/core/src/main/java/org/almondmount/jobs/impl/JobState.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/JobState.java
@@ -13,7 +13,7 @@
 import org.almondmount.model.WorkerId;
 
 /**
- * A job and everything that is known about it. Mutable, not thread-safe.
+ * The state of a job. Mutable, not thread-safe.
  */
 final class JobState {
 
@@ -23,21 +23,21 @@
 
 	final JobSpec spec;
 
-	/** Its place in the order of submission; kept when it is requeued. */
+	/** The job's position in the order of submission, unchanged when it is requeued. */
 	final long submissionOrder;
 
 	final long submittedAt;
 
-	/** The number of the last attempt, 0 before the first. */
+	/** The number of the last attempt, 0 before the first attempt. */
 	int lastAttempt;
 
-	/** The attempt that counts, null while it waits or is over. */
+	/** The current attempt, null while the job waits or after it has ended. */
 	Gang current;
 
-	/** Attempts that were given up and whose room is still booked. */
+	/** Abandoned attempts whose resources are still allocated. */
 	final List<Gang> abandonedGangs = new ArrayList<>(0);
 
-	/** Its line in the queue while it waits there, null otherwise. */
+	/** The queue in which the job waits, null if it is not queued. */
 	ShapeQueue queue;
 
 	boolean hasCheckpoint;
@@ -48,31 +48,32 @@
 
 	long notBefore;
 
-	/** How often its own program failed. */
+	/** The number of failures of the customer's program. */
 	int programFailures;
 
-	/** Attempts in a row that did not get to run. */
+	/** The number of consecutive attempts that failed before they ran. */
 	int consecutiveFailedStarts;
 
 	int preemptions;
 
 	long lastPreemptedAt = Long.MIN_VALUE;
 
-	/** How long it ran to its end or to a checkpoint, over all attempts. */
+	/** The total time that its attempts ran until they completed or were stopped. */
 	long ranMillis;
 
 	/**
-	 * How much room stood idle because it could not start there, in accelerator seconds.
+	 * The capacity that was idle because the job could not start on it, in accelerator
+	 * seconds.
 	 */
 	double idleAcceleratorSeconds;
 
-	/** Until when no room is reserved for it, because the last was late. */
+	/** No workers are reserved before this time, because a reservation was overdue. */
 	long noReservationBefore;
 
-	/** Workers that could not run it. */
+	/** Workers that could not run the job. */
 	final Set<WorkerId> avoidedWorkers = new HashSet<>(0);
 
-	/** Healthy workers on which its own program failed. */
+	/** Healthy workers on which the customer's program failed. */
 	final Set<WorkerId> programFailedOn = new HashSet<>(0);
 
 	private final List<String> explanations = new ArrayList<>(2);
@@ -86,8 +87,9 @@
 	}
 
 	/**
-	 * Whether others may preempt it while it runs outside its owner's guarantee.
-	 * @return false for work that may not be repeated
+	 * Whether other customers may preempt the job while it runs outside its owner's
+	 * guarantee.
+	 * @return false for non-repeatable work
 	 */
 	boolean isPreemptible() {
 		return this.spec.repeatable();
--- a/core/src/main/java/org/almondmount/jobs/impl/Member.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Member.java
@@ -4,7 +4,7 @@
 import org.almondmount.model.WorkerId;
 
 /**
- * One member of a gang. Mutable, not thread-safe.
+ * A member of a gang. Mutable, not thread-safe.
  */
 final class Member {
 
@@ -14,10 +14,10 @@
 
 	final WorkerId workerId;
 
-	/** Null while a recovered member's worker has not announced itself. */
+	/** The worker, null until the worker of a recovered member registers. */
 	WorkerNode worker;
 
-	/** Whether its room is booked on the worker. */
+	/** Whether its resources are allocated on the worker. */
 	boolean allocated;
 
 	boolean prepared;
@@ -26,18 +26,18 @@
 
 	boolean started;
 
-	/** Whether its worker was asked to end it. */
+	/** Whether a stop was sent to its worker. */
 	boolean stopSent;
 
-	/** Whether its worker said that nothing of it ran. */
+	/** Whether its worker reported that it never ran. */
 	boolean neverRan;
 
 	boolean checkpointed;
 
-	/** When it was told to slow down, 0 if never. */
+	/** When it was throttled, 0 if never. */
 	long throttledAt;
 
-	/** How its task ended, null until it has. */
+	/** The outcome of its task, null until it has ended. */
 	JobOutcome outcome;
 
 	Member(Gang gang, int index, WorkerId workerId) {
--- a/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
@@ -23,7 +23,7 @@
 import org.almondmount.plan.PlanEffects;
 
 /**
- * Works out what an intent would do. Changes nothing. Not thread-safe.
+ * Computes the effects of an intent without changing any state. Not thread-safe.
  */
 final class PlanPreview {
 
@@ -86,9 +86,10 @@
 	}
 
 	/**
-	 * A customer that only gives up some of its guarantees is never refused.
+	 * Whether a customer only gives up some of its guarantees; such a change is never
+	 * refused.
 	 * @param customer the customer
-	 * @return true if so
+	 * @return true if no guarantee is added
 	 */
 	private boolean onlyReducesGuarantees(Customer customer) {
 		Customer before = this.context.configuration.customers().get(customer.id());
--- a/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
@@ -11,8 +11,8 @@
 import org.almondmount.model.WorkerId;
 
 /**
- * Takes over the jobs of the former lease holder. A placement whose workers announce
- * themselves in time is taken to run on; the others count as lost. Not thread-safe.
+ * Takes over the jobs of the previous lease holder. A placement is assumed to keep
+ * running if its workers register in time; otherwise it counts as lost. Not thread-safe.
  */
 final class Recovery {
 
@@ -26,7 +26,7 @@
 
 	private final GuaranteeLedger guaranteeAllocator;
 
-	/** Recovered members whose workers have not announced themselves yet. */
+	/** Recovered members whose workers have not registered yet. */
 	private final Map<WorkerId, Set<Member>> unattachedMembers = new HashMap<>();
 
 	Recovery(SchedulerContext context, Fleet fleet, JobRegistry registry, GangRunner gangRunner,
--- a/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
@@ -13,9 +13,9 @@
 import org.almondmount.model.Resources;
 
 /**
- * Helps jobs that find no room although they should: by moving small work, by having
- * customers above their share give way, by reserving. Runs at a steady pace while jobs
- * wait, with bounded work each time. Not thread-safe.
+ * Makes capacity available for blocked jobs: by moving small work, by preempting
+ * customers above their fair share, and by reserving workers. Runs periodically while
+ * jobs wait, with a bounded amount of work per pass. Not thread-safe.
  */
 final class Rescheduler {
 
@@ -26,7 +26,7 @@
 	private static final int MAX_JOBS_UNBLOCKED = 6;
 
 	/**
-	 * How long a small job of a guarantee's owner waits before borrowers have to leave.
+	 * How long a small job of a guarantee's owner waits before borrowers are evicted.
 	 */
 	private static final long SMALL_JOB_RECLAIM_AFTER_MILLIS = 30_000;
 
@@ -34,24 +34,27 @@
 
 	private static final long SMALL_JOB_DEFRAGMENT_AFTER_MILLIS = 20_000;
 
-	/** From this size on, in accelerators, work has to wait longer for room by itself. */
+	/**
+	 * Jobs of at least this size, in accelerators, wait longer for capacity to become
+	 * free.
+	 */
 	private static final double MIN_LARGE_JOB_ACCELERATORS = 8;
 
 	private static final long FAIR_SHARE_PREEMPTION_AFTER_MILLIS = 15_000;
 
-	/** How long work is left alone before it has to give way to a smaller share. */
+	/** How long work runs before it may be preempted for a smaller share. */
 	private static final long MIN_RUN_BEFORE_PREEMPTION_MILLIS = 30_000;
 
-	/** How much better a move has to be than what it costs. */
+	/** The minimum ratio of the gain of a move to its cost. */
 	private static final double MIN_GAIN_COST_RATIO = 2;
 
 	/**
-	 * Waits are foreseen badly, so that no more than this counts as gained; beyond it,
-	 * what room has already stood idle decides.
+	 * Expected waits are estimated poorly, so that no more than this counts as gain;
+	 * beyond it, the time that capacity has already been idle decides.
 	 */
 	private static final double MAX_EXPECTED_WAIT_SECONDS = 60;
 
-	/** How much larger a share has to be before it gives way. */
+	/** The minimum ratio of a share to the smaller share that may preempt it. */
 	private static final double MIN_SHARE_RATIO = 1.1;
 
 	private final SchedulerContext context;
@@ -91,7 +94,7 @@
 		this.reservations = reservations;
 	}
 
-	/** Keeps the pace going while jobs wait. */
+	/** Schedules the next pass while jobs wait. */
 	void schedulePass() {
 		if (this.passScheduled || this.waiting.waitingCount() == 0) {
 			return;
@@ -167,10 +170,10 @@
 	}
 
 	/**
-	 * Clears the room that is reserved for a job once leaving what is free of it idle
-	 * would cost more than what the rest loses by leaving.
+	 * Evicts the remaining work from the workers that are reserved for a job, once
+	 * keeping their free capacity idle would cost more than the eviction loses.
 	 * @param job the job
-	 * @return true if so
+	 * @return true if the job was launched
 	 */
 	private boolean evictFromReservation(JobState job) {
 		Reservation reservation = this.reservations.of(job);
@@ -206,9 +209,9 @@
 	}
 
 	/**
-	 * Moves small work away where enough is free, but not together.
+	 * Moves small work away if there is enough free capacity, but it is fragmented.
 	 * @param job the job
-	 * @return true if so
+	 * @return true if the job was launched
 	 */
 	private boolean defragment(JobState job) {
 		if (this.fleet.slots(placementView(job), job.spec.shape().perMember()).total() < job.spec.shape().members()) {
@@ -255,9 +258,9 @@
 	}
 
 	/**
-	 * Has customers with larger shares give way, least lost work first.
+	 * Preempts work of customers with larger shares, with the least lost work first.
 	 * @param job the job
-	 * @return true if so
+	 * @return true if the job was launched
 	 */
 	private boolean preemptForFairShare(JobState job) {
 		Amount total = new Amount();
@@ -286,10 +289,11 @@
 	}
 
 	/**
-	 * Nobody may fall below the share of the one that it gives way to.
-	 * @param eviction the place and who has to leave
-	 * @param shareAfterStart the share of the one that they give way to
-	 * @return true if so
+	 * Whether no preempted customer would fall below the share of the customer that
+	 * preempts it.
+	 * @param eviction the workers and the attempts to evict
+	 * @param shareAfterStart the share of the preempting customer after its job starts
+	 * @return true if every owner keeps at least that share
 	 */
 	private boolean ownersKeepLargerShare(Evictor.Eviction eviction, double shareAfterStart) {
 		Map<CustomerQueue, Amount> lostByOwner = new HashMap<>();
@@ -309,8 +313,8 @@
 	}
 
 	/**
-	 * The reserved room of an old job is late: whoever may be preempted has to leave now,
-	 * so that a job's wait has a bound whatever run times were expected.
+	 * Evicts all preemptible work for an aged job whose reservation is overdue, so that
+	 * the job's wait is bounded regardless of the expected run times.
 	 * @param job the job
 	 */
 	private void evictForOverdueJob(JobState job) {
--- a/core/src/main/java/org/almondmount/jobs/impl/RunTimeEstimator.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/RunTimeEstimator.java
@@ -7,9 +7,9 @@
 import org.almondmount.model.JobSpec;
 
 /**
- * Run times of a customer's jobs of one class, learned from those that ended. Declared
- * times are far off, so they count only until a few jobs have been seen. Bounded: the
- * class that was used longest ago is forgotten first. Not thread-safe.
+ * Estimates run times per customer and job class from the jobs that ended. Declared run
+ * times are inaccurate, so they are used only until a few jobs have ended. Bounded: the
+ * least recently used class is evicted first. Not thread-safe.
  */
 final class RunTimeEstimator {
 
@@ -21,7 +21,7 @@
 
 	private static final double QUANTILE = 0.8;
 
-	/** How much longer a job is taken to run that has passed all that were seen. */
+	/** The remaining share of the elapsed time for a job that outran the estimate. */
 	private static final double OVERRUN_FACTOR = 0.5;
 
 	private static final float LOAD_FACTOR = 0.75f;
@@ -46,10 +46,11 @@
 	}
 
 	/**
-	 * How long a job is going to run on, a high quantile of what was seen of its class.
+	 * Estimates the remaining run time of a job, from a high quantile of the recorded run
+	 * times of its class.
 	 * @param spec the job
-	 * @param elapsedMillis how long it has run already, in milliseconds
-	 * @return the rest in milliseconds
+	 * @param elapsedMillis how long the job has run already, in milliseconds
+	 * @return the remaining time in milliseconds
 	 */
 	long remainingMillis(JobSpec spec, long elapsedMillis) {
 		Samples samples = this.learningEnabled ? this.classes.get(key(spec)) : null;
@@ -68,7 +69,7 @@
 	}
 
 	/**
-	 * The last run times of one class, sorted when they are asked for.
+	 * The last run times of a class, sorted on demand.
 	 */
 	private static final class Samples {
 
@@ -78,7 +79,7 @@
 
 		private int next;
 
-		/** The values in order, null after a change. */
+		/** The sorted values, null after a change. */
 		private long[] sorted;
 
 		void add(long millis) {
@@ -89,10 +90,9 @@
 		}
 
 		/**
-		 * The quantile of those samples that a job which has run so long can still be
-		 * like.
-		 * @param elapsedMillis how long it has run, in milliseconds
-		 * @return the result
+		 * Returns the quantile of the samples that are longer than the elapsed time.
+		 * @param elapsedMillis how long the job has run, in milliseconds
+		 * @return the quantile in milliseconds, 0 if no sample is longer
 		 */
 		long quantileAbove(long elapsedMillis) {
 			if (this.sorted == null) {
--- a/core/src/main/java/org/almondmount/jobs/impl/SchedulerContext.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/SchedulerContext.java
@@ -8,8 +8,8 @@
 import org.almondmount.model.Configuration;
 
 /**
- * What all parts of one scheduler share: the time of the event in hand, the commands that
- * it gives rise to, timers, policy and configuration. Mutable, not thread-safe.
+ * The state shared by all parts of a scheduler: the time of the event being handled, the
+ * resulting commands, timers, policy and configuration. Mutable, not thread-safe.
  */
 final class SchedulerContext {
 
--- a/core/src/main/java/org/almondmount/jobs/impl/ShapeQueue.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ShapeQueue.java
@@ -7,8 +7,9 @@
 import org.almondmount.model.Urgency;
 
 /**
- * One customer's waiting jobs of the same shape and urgency, in the order of submission.
- * If the first finds no room, none of them does. Mutable, not thread-safe.
+ * The waiting jobs of a customer with the same shape and urgency, in the order of
+ * submission. If the first job does not fit, none of the others does. Mutable, not
+ * thread-safe.
  */
 final class ShapeQueue {
 
@@ -30,10 +31,11 @@
 	}
 
 	/**
-	 * Whether a worker's surroundings, as wide as the adjacency, have room for the gang.
+	 * Whether the gang may fit in the adjacency domain (worker, rack, zone or fleet) of a
+	 * worker.
 	 * @param fleet the workers
 	 * @param worker the worker
-	 * @return false if they surely have not
+	 * @return false if the gang certainly does not fit
 	 */
 	boolean mayFitNear(Fleet fleet, WorkerNode worker) {
 		SlotIndex slots = slotIndex(fleet);
@@ -50,9 +52,9 @@
 	}
 
 	/**
-	 * Whether any part of the fleet has room for the gang.
+	 * Whether the gang may fit anywhere in the fleet.
 	 * @param fleet the workers
-	 * @return false if surely none has
+	 * @return false if the gang certainly does not fit
 	 */
 	boolean mayFitAnywhere(Fleet fleet) {
 		SlotIndex slots = slotIndex(fleet);
@@ -65,10 +67,10 @@
 	}
 
 	/**
-	 * Whether the first job may have borrowers leave, asked again only after the
-	 * customer's spots or what it has have changed.
-	 * @param guaranteedJobStarter knows it
-	 * @return true if it may
+	 * Whether the first job may evict borrowers. The result is cached until the
+	 * customer's usage or guarantee reservations change.
+	 * @param guaranteedJobStarter computes the result
+	 * @return true if the job may evict borrowers
 	 */
 	boolean mayReclaimImmediately(GuaranteedStart guaranteedJobStarter) {
 		if (this.entitledAtChangeCount != this.customer.changeCount) {
@@ -93,11 +95,11 @@
 	}
 
 	/**
-	 * What jobs have to have in common to share a fate.
+	 * The properties that are common to all jobs of a queue.
 	 *
 	 * @param shape the gang
-	 * @param urgent whether they are urgent
-	 * @param repeatable whether they may be preempted
+	 * @param urgent whether the jobs are urgent
+	 * @param repeatable whether the jobs may be preempted
 	 */
 	record Key(GangShape shape, boolean urgent, boolean repeatable) {
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Timers.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Timers.java
@@ -4,8 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Actions that are due at a time, run in the order of their times and then of their
- * setting. An action checks itself whether it still applies. Not thread-safe.
+ * Scheduled actions, run in the order of their due times and then of their scheduling.
+ * Timers can't be cancelled, so that each action has to check whether it still applies.
+ * Not thread-safe.
  */
 final class Timers {
 
@@ -26,8 +27,8 @@
 	}
 
 	/**
-	 * When the next action is due.
-	 * @return the time, {@link Long#MAX_VALUE} if there is none
+	 * Returns when the next action is due.
+	 * @return the time, {@link Long#MAX_VALUE} if no action is scheduled
 	 */
 	long nextDueAt() {
 		return this.queue.isEmpty() ? Long.MAX_VALUE : this.queue.peek().dueAt();
--- a/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
@@ -4,14 +4,15 @@
 import org.almondmount.model.Resources;
 
 /**
- * Acts on members that use far more than was declared: slows them down first, and moves
- * the gang if one stays over in memory, which can't be slowed down. Not thread-safe.
+ * Handles members that use far more resources than declared: throttles them first, and
+ * moves the gang if a member still exceeds its declared memory, which can't be throttled.
+ * Not thread-safe.
  */
 final class UsageGuard {
 
 	private static final double OVERUSE_FACTOR = 1.2;
 
-	/** Reports lag, so that one after the order to slow down may still be from before. */
+	/** Usage reports lag, so a report after the throttle command may predate it. */
 	private static final long THROTTLE_REPORT_DELAY_MILLIS = 15_000;
 
 	private final SchedulerContext context;
@@ -24,9 +25,9 @@
 	}
 
 	/**
-	 * Takes a usage report.
+	 * Handles a usage report.
 	 * @param member the member
-	 * @param used what it used some seconds ago
+	 * @param used the resources that the member used some seconds ago
 	 */
 	void onUsageReported(Member member, Resources used) {
 		Gang gang = member.gang;
--- a/core/src/main/java/org/almondmount/jobs/impl/WaitingJobs.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WaitingJobs.java
@@ -13,11 +13,12 @@
 import org.almondmount.model.CustomerId;
 
 /**
- * All waiting jobs by customer and shape. Adding and removing one costs the logarithm of
- * the jobs of its shape. Not thread-safe.
+ * All waiting jobs by customer and shape. Adding or removing a job takes time logarithmic
+ * in the number of jobs of its shape. Not thread-safe.
  * <p>
- * A shape whose first job found no room is blocked, and is not looked at again until room
- * has grown that could hold it; so an event costs the shapes that wait, not the jobs.
+ * A shape whose first job did not fit is blocked, and is not tried again until capacity
+ * that could hold it becomes available. The cost of an event therefore depends on the
+ * number of waiting shapes, not of waiting jobs.
  */
 final class WaitingJobs {
 
@@ -108,7 +109,7 @@
 	}
 
 	/**
-	 * Opens a customer's shapes, because its spots have changed.
+	 * Opens a customer's shapes after its guarantee reservations have changed.
 	 * @param id the customer
 	 */
 	void open(CustomerId id) {
@@ -119,9 +120,9 @@
 	}
 
 	/**
-	 * Opens the shapes that could have found room on workers whose books changed.
+	 * Opens the shapes that may fit on workers whose allocations changed.
 	 * @param fleet the workers
-	 * @param grown the workers whose books changed
+	 * @param grown the workers whose allocations changed
 	 */
 	void openFittingShapes(Fleet fleet, List<WorkerNode> grown) {
 		for (ShapeQueue queue : new ArrayList<>(this.blocked)) {
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
@@ -7,25 +7,27 @@
 import org.almondmount.jobs.JobFeature;
 
 /**
- * Tells bad workers from bad jobs by comparing across both. Not thread-safe.
+ * Distinguishes faulty workers from faulty jobs by comparing failures across both. Not
+ * thread-safe.
  * <p>
- * Each failure adds to a worker's score, which decays. A worker whose score stands far
- * above its peers' is set aside for a time that doubles with each relapse, then has to
- * run one single task before it gets more. A job's own failure weighs little until the
- * job has run elsewhere; if it fails there too, it is the job.
+ * Each failure adds to a worker's score, which decays over time. A worker whose score is
+ * far above that of its peers is quarantined for a time that doubles with each relapse,
+ * then has to complete a single task before it gets more. A failure of a job's program
+ * has a low weight until the job has run elsewhere; if it fails there too, the job is
+ * considered faulty.
  */
 final class WorkerHealth {
 
-	/** Added when a worker says that it could not run a task. */
+	/** Added when a worker reports that it could not run a task. */
 	static final double COULD_NOT_RUN_PENALTY = 1;
 
-	/** Added when a worker did not answer in time, or refused. */
+	/** Added when a worker did not answer in time, or refused a member. */
 	static final double NO_ANSWER_PENALTY = 0.4;
 
-	/** Added when a program failed, taken back if it fails elsewhere. */
+	/** Added when a program failed, retracted if it fails elsewhere too. */
 	private static final double PROGRAM_FAILED_PENALTY = 0.4;
 
-	/** Added when a program that failed there ran to its end elsewhere. */
+	/** Added when a program that failed on the worker completed elsewhere. */
 	private static final double SUCCEEDED_ELSEWHERE_PENALTY = 0.8;
 
 	private static final double MIN_QUARANTINE_SCORE = 2;
@@ -34,7 +36,7 @@
 
 	private static final double SCORE_HALF_LIFE_MILLIS = 600_000;
 
-	/** At most this share of the workers is set aside at a time. */
+	/** The maximum share of the workers that are quarantined at the same time. */
 	private static final double MAX_QUARANTINED_SHARE = 0.2;
 
 	private static final long FIRST_QUARANTINE_MILLIS = 60_000;
@@ -62,9 +64,9 @@
 	}
 
 	/**
-	 * A worker failed to do its part.
-	 * @param worker the worker, null if it is not known
-	 * @param penalty how much that says about it
+	 * Records a failure of a worker.
+	 * @param worker the worker, null if it is unknown
+	 * @param penalty the value to add to the worker's score
 	 */
 	void recordFailure(WorkerNode worker, double penalty) {
 		if (worker == null || !this.context.policy.isEnabled(JobFeature.QUARANTINE)) {
@@ -83,9 +85,9 @@
 	}
 
 	/**
-	 * A job's own program failed.
+	 * Records a failure of a job's program.
 	 * @param job the job
-	 * @param worker where it failed
+	 * @param worker the worker on which it failed
 	 */
 	void recordProgramFailure(JobState job, WorkerNode worker) {
 		job.programFailedOn.add(worker.info.id());
@@ -98,7 +100,7 @@
 	}
 
 	/**
-	 * An attempt ran to its end.
+	 * Records an attempt that completed.
 	 * @param gang the attempt
 	 */
 	void recordSuccess(Gang gang) {
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -8,13 +8,13 @@
 import org.almondmount.model.Configuration;
 
 /**
- * Moves work out of zones that are out of service and off workers that leave. Not
+ * Moves work out of zones that are out of service and off draining workers. Not
  * thread-safe.
  * <p>
- * Nothing new is placed there from the moment the configuration is known; attempts that
- * do not run yet are given up at once. What runs is left alone for a settling time, so
- * that a zone that flaps moves nothing; then it checkpoints and moves. What can't
- * checkpoint may run on until the grace is over.
+ * As soon as the configuration is known, no new work is placed there, and attempts that
+ * have not started are abandoned. In a zone, running work is not touched for a settling
+ * time, so that a flapping zone moves no work; then it is checkpointed and moved. Work
+ * that can't checkpoint may keep running until the grace period ends.
  */
 final class ZoneDrain {
 
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Moves work off a worker that leaves.
+	 * Moves work off a draining worker.
 	 * @param worker the worker
 	 */
 	void drainWorker(WorkerNode worker) {
--- a/core/src/main/java/org/almondmount/jobs/package-info.java
+++ b/core/src/main/java/org/almondmount/jobs/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The decisions about jobs: guarantees, gangs, fairness, preemption and zones, as one
- * deterministic state machine without I/O. {@link org.almondmount.jobs.JobScheduler} is
- * the entrance.
+ * Job scheduling: guarantees, gangs, fairness, preemption and zones, as a deterministic
+ * state machine without I/O. The entry point is
+ * {@link org.almondmount.jobs.JobScheduler}.
  */
 package org.almondmount.jobs;
