--- a/core/src/main/java/org/almondmount/jobs/JobTimeouts.java
+++ b/core/src/main/java/org/almondmount/jobs/JobTimeouts.java
@@ -54,7 +54,7 @@
 
 	private static void requirePositive(String field, Duration duration) {
 		if (duration.isNegative() || duration.isZero()) {
-			throw new InvalidValueException(field, "is " + duration + "; give a time above zero");
+			throw new InvalidValueException(field, "is " + duration + "; give a duration above zero");
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Admission.java
@@ -47,7 +47,8 @@
 		}
 		if (this.waiting.waitingCount() >= this.context.policy.limits().waiting()) {
 			return Optional.of(Refusal
-				.notRun(RefusalReason.QUEUE_FULL, this.waiting.waitingCount() + " jobs of all customers wait")
+				.notRun(RefusalReason.QUEUE_FULL,
+						this.waiting.waitingCount() + " jobs of all customers are waiting, which is the limit")
 				.withRetryAfter(RETRY_AFTER));
 		}
 		return neverFitsDetail(spec.shape()).map((detail) -> Refusal.notRun(RefusalReason.NEVER_FITS, detail));
@@ -75,7 +76,7 @@
 			return Optional.empty();
 		}
 		return Optional.of("members: " + shape.members() + " with adjacency " + shape.adjacency()
-				+ " are asked for, at most " + maxMembers + " fit together into the empty fleet");
+				+ " are requested, but at most " + maxMembers + " fit together into the empty fleet");
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/DefaultJobScheduler.java
@@ -255,7 +255,7 @@
 			return;
 		}
 		JobState job = this.registry.add(event.job(), event.spec());
-		job.addExplanation("It was accepted and waits for a place.");
+		job.addExplanation("The job was accepted and waits for a placement.");
 		this.context.send(new JobCommand.Accept(job.id, job.spec));
 		this.registry.enqueue(job);
 	}
@@ -263,7 +263,7 @@
 	private void onJobCancelled(JobId id) {
 		JobState job = this.registry.job(id);
 		if (job != null) {
-			cancel(job, "it was cancelled");
+			cancel(job, "the job was cancelled");
 		}
 	}
 
@@ -287,7 +287,7 @@
 	private void onPlacementRejected(Attempt attempt) {
 		Gang gang = currentGang(attempt);
 		if (gang != null && gang.stage == Gang.Stage.COMMITTING) {
-			this.gangRunner.abandonAndRequeue(gang, "the table did not take the placement", true);
+			this.gangRunner.abandonAndRequeue(gang, "the placement was not committed to the table", true);
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Explainer.java
@@ -39,7 +39,7 @@
 			return lines;
 		}
 		if (!this.context.startsAllowed) {
-			lines.add("Nothing starts at present: the state of the zones or the scheduler's lease is not certain.");
+			lines.add("No job is started at present: the state of the zones or of the scheduler lease is uncertain.");
 		}
 		if (job.queue == null) {
 			lines.add(describePause(job));
@@ -50,7 +50,8 @@
 		describeGuarantee(job, lines);
 		Reservation reservation = this.reservations.of(job);
 		if (reservation != null) {
-			lines.add("Room on " + reservation.workers().size() + " workers is kept for it, expected to be free in "
+			lines.add("Capacity on " + reservation.workers().size()
+					+ " workers is reserved for the job, expected to be free in "
 					+ Math.max(0, (reservation.readyAt() - this.context.now) / 1000) + " s.");
 		}
 		return lines;
@@ -59,13 +60,13 @@
 	private static String describeStage(Gang gang) {
 		String attempt = "Attempt " + gang.attempt.number();
 		return switch (gang.stage) {
-			case AWAITING_EVICTION -> attempt + " has its place and waits for borrowers to leave it.";
-			case COMMITTING -> attempt + " has its place, which is being written to the table.";
+			case AWAITING_EVICTION -> attempt + " has a placement and waits for borrowers to be evicted from it.";
+			case COMMITTING -> attempt + " has a placement, which is being written to the table.";
 			case PREPARING -> attempt + " has " + gang.preparedCount + " of " + gang.members.length
-					+ " members held by their workers; it starts when all are.";
+					+ " members prepared by their workers; it starts when all are prepared.";
 			case STARTING -> attempt + " was started; " + gang.startedCount + " of " + gang.members.length
 					+ " members have reported that they run.";
-			case RUNNING -> attempt + " runs on " + gang.members.length + " members"
+			case RUNNING -> attempt + " is running on " + gang.members.length + " members"
 					+ ((gang.guaranteeReservation != null) ? " inside its customer's guarantee." : ".");
 			case STOPPING, ABANDONED -> attempt + " is being stopped: " + gang.stopReason + '.';
 		};
@@ -73,10 +74,10 @@
 
 	private String describePause(JobState job) {
 		if (!job.abandonedGangs.isEmpty()) {
-			return "It waits until its former attempt has let go of its workers.";
+			return "The job waits until its previous attempt has released its workers.";
 		}
-		return "It pauses for " + Math.max(0, (job.notBefore - this.context.now) / 1000)
-				+ " s after its last attempt did not get to run.";
+		return "The job pauses for " + Math.max(0, (job.notBefore - this.context.now) / 1000)
+				+ " s because its last attempt failed.";
 	}
 
 	private String describePosition(JobState job) {
@@ -94,19 +95,20 @@
 	private String describeFreeCapacity(GangShape shape) {
 		boolean oneWorker = shape.adjacency() == Adjacency.WORKER;
 		SlotIndex free = this.fleet.slots(Room.FREE, oneWorker ? shape.total() : shape.perMember());
-		String need = "It needs " + EmptyLayout.describe(shape) + "; ";
+		String need = "The job needs " + EmptyLayout.describe(shape) + "; ";
 		if (oneWorker) {
-			return need + ((free.total() > 0) ? "a worker has that free." : "no worker has that free.");
+			return need
+					+ ((free.total() > 0) ? "a worker has this capacity free." : "no worker has this capacity free.");
 		}
 		if (shape.adjacency() != Adjacency.RACK) {
-			return need + "there is room for " + free.total() + " members in the whole fleet.";
+			return need + "there is capacity for " + free.total() + " members in the whole fleet.";
 		}
 		if (free.racks().isEmpty()) {
-			return need + "no rack has room for a single one.";
+			return need + "no rack has capacity for a single member.";
 		}
 		RackNode rack = this.fleet.rack(SlotIndex.rackOrder(free.racks().last()));
-		return need + "the rack with the most room, " + rack.id + " in zone " + rack.zone.id + ", has room for "
-				+ free.slots(rack) + '.';
+		return need + "the rack with the most free capacity, " + rack.id + " in zone " + rack.zone.id
+				+ ", has capacity for " + free.slots(rack) + '.';
 	}
 
 	private void describeGuarantee(JobState job, List<String> lines) {
@@ -119,7 +121,7 @@
 		}
 		if (!reservations.isEmpty()) {
 			lines.add("Of its customer's " + reservations.size() + " guaranteed gangs " + vacant + " are not in use"
-					+ ((unplaced > 0) ? " and " + unplaced + " have no place at present." : "."));
+					+ ((unplaced > 0) ? " and " + unplaced + " are not placed at present." : "."));
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -80,7 +80,7 @@
 				.plus(this.context.policy.timeouts().abort())
 				.toMillis();
 			scheduleStageTimeout(gang, Gang.Stage.AWAITING_EVICTION, 2 * timeoutMillis,
-					"the room that it was promised did not get free in time");
+					"the allocated capacity did not become free in time");
 		}
 		return gang;
 	}
@@ -109,7 +109,7 @@
 		}
 		this.context.send(new JobCommand.CommitPlacement(gang.attempt, gang.job.spec, List.copyOf(placement)));
 		scheduleStageTimeout(gang, Gang.Stage.COMMITTING, this.context.policy.timeouts().commit().toMillis(),
-				"the table did not take the placement in time");
+				"the table did not commit the placement in time");
 	}
 
 	void onPlacementCommitted(Gang gang) {
@@ -126,7 +126,7 @@
 					gang.job.hasCheckpoint));
 		}
 		scheduleStageTimeout(gang, Gang.Stage.PREPARING, this.context.policy.timeouts().prepare().toMillis(),
-				"not every worker held its member in time");
+				"not every worker prepared its member in time");
 	}
 
 	void onMemberPrepared(Member member) {
@@ -150,8 +150,8 @@
 			enterStage(gang, Gang.Stage.RUNNING);
 			gang.runningSince = this.context.now;
 			gang.job.consecutiveFailedStarts = 0;
-			gang.job.addExplanation(
-					"Attempt " + gang.attempt.number() + " runs on all of its " + gang.members.length + " members.");
+			gang.job.addExplanation("Attempt " + gang.attempt.number() + " is running on all of its "
+					+ gang.members.length + " members.");
 		}
 	}
 
@@ -177,7 +177,7 @@
 		boolean mayHaveRun = gang.mayHaveRun();
 		abandon(gang);
 		if (mayHaveRun && !gang.job.spec.repeatable()) {
-			this.registry.finish(gang.job, JobOutcome.UNKNOWN, "It may have run and may not be repeated: " + reason);
+			this.registry.finish(gang.job, JobOutcome.UNKNOWN, "The job may have run and is not repeatable: " + reason);
 			return;
 		}
 		this.registry.requeue(gang, reason, pauseBeforeRetry ? nextRetryPauseMillis(gang.job) : 0);
@@ -342,8 +342,7 @@
 		gang.endedCount++;
 		release(member);
 		this.workerHealth.recordFailure(member.worker, WorkerHealth.NO_ANSWER_PENALTY);
-		abandonAndRequeue(gang, "worker " + member.workerId + " did not take member " + member.index + ": " + reason,
-				true);
+		abandonAndRequeue(gang, "worker " + member.workerId + " refused member " + member.index + ": " + reason, true);
 	}
 
 	/**
@@ -405,7 +404,7 @@
 			this.context.send(new JobCommand.Start(gang.attempt, member.index, member.workerId));
 		}
 		scheduleStageTimeout(gang, Gang.Stage.STARTING, this.context.policy.timeouts().start().toMillis(),
-				"not every member reported in time that it runs");
+				"not every member reported its start in time");
 	}
 
 	private void stop(Gang gang) {
@@ -455,13 +454,13 @@
 		if (succeeded) {
 			this.workerHealth.recordSuccess(gang);
 			this.runTimeEstimator.recordRunTime(job.spec, job.ranMillis);
-			this.registry.finish(job, JobOutcome.SUCCEEDED, "all members ran to their end");
+			this.registry.finish(job, JobOutcome.SUCCEEDED, "all members completed");
 			return;
 		}
 		job.hasCheckpoint |= suspended;
 		if (!repeatable && !suspended && gang.mayHaveRun()) {
 			this.registry.finish(job, JobOutcome.UNKNOWN,
-					"It may have run and may not be repeated: " + gang.stopReason);
+					"The job may have run and is not repeatable: " + gang.stopReason);
 			return;
 		}
 		this.registry.requeue(gang, gang.stopReason, 0);
@@ -475,15 +474,15 @@
 		int limit = this.context.policy.limits().healthyWorkersTried();
 		if (!job.spec.repeatable()) {
 			this.registry.finish(job, JobOutcome.FAILED,
-					"member " + member.index + " failed, and it may not be repeated");
+					"member " + member.index + " failed, and the job is not repeatable");
 			return;
 		}
 		if (job.programFailures >= limit) {
-			this.registry.finish(job, JobOutcome.FAILED, "its own program failed " + job.programFailures
+			this.registry.finish(job, JobOutcome.FAILED, "the program failed " + job.programFailures
 					+ " times on different workers, last on " + member.workerId);
 			return;
 		}
-		this.registry.requeue(gang, "its own program failed on worker " + member.workerId, nextRetryPauseMillis(job));
+		this.registry.requeue(gang, "the program failed on worker " + member.workerId, nextRetryPauseMillis(job));
 	}
 
 	private boolean removeIfReleased(Gang gang) {
--- a/core/src/main/java/org/almondmount/jobs/impl/JobRegistry.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/JobRegistry.java
@@ -74,7 +74,7 @@
 		job.phaseSince = this.context.now;
 		job.notBefore = this.context.now + pauseMillis;
 		job.addExplanation(
-				"Attempt " + gang.attempt.number() + " is over and the job waits again as a whole: " + reason);
+				"Attempt " + gang.attempt.number() + " ended and the job was requeued as a whole: " + reason);
 		this.context.send(new JobCommand.Requeue(gang.attempt, reason));
 		enqueue(job);
 	}
@@ -86,7 +86,7 @@
 		this.waiting.remove(job);
 		job.outcome = outcome;
 		job.phaseSince = this.context.now;
-		job.addExplanation("It ended as " + outcome.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
+		job.addExplanation("The job ended as " + outcome.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
 		this.context.send(new JobCommand.Finish(job.id, job.lastAttempt, outcome, reason));
 		this.endedJobs.add(job.id);
 		while (this.endedJobs.size() > this.context.policy.limits().endedKept()) {
--- a/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
@@ -65,9 +65,10 @@
 		}
 		if (intent instanceof Intent.SetZone zone) {
 			return effectsWithRemarks(List.of("Waiting work is placed in zone " + zone.zone()
-					+ " first; nothing that runs is moved back without need."), layout.atRisk());
+					+ " first; running work is moved back only if necessary."), layout.atRisk());
 		}
-		return effectsWithRemarks(List.of("It is in force as soon as it is confirmed; no running work is touched."),
+		return effectsWithRemarks(
+				List.of("The change takes effect as soon as it is confirmed; no running work is affected."),
 				layout.atRisk());
 	}
 
@@ -77,9 +78,9 @@
 		}
 		List<String> remarks = new ArrayList<>();
 		remarks.add("All " + countGuaranteedGangs(planned) + " guaranteed gangs of " + planned.customers().size()
-				+ " customers can be laid out at the same time.");
+				+ " customers can be placed at the same time.");
 		if (isNonRepeatableWorkRunning()) {
-			remarks.add("Work that may not be repeated is left where it runs; a new spot under it is ready"
+			remarks.add("Non-repeatable work keeps running where it is; a new reservation on its workers is ready"
 					+ " when it has ended.");
 		}
 		return effectsWithRemarks(remarks, layout.atRisk());
@@ -114,7 +115,7 @@
 			}
 		}
 		return new PlanEffects(Optional.empty(), List.of(), stops, List.of(),
-				List.of("Its waiting and running jobs are cancelled and its guaranteed shapes are given up."));
+				List.of("The customer's waiting and running jobs are cancelled and its guarantees are removed."));
 	}
 
 	private PlanEffects previewZoneOut(ZoneId id, EmptyLayout layout) {
@@ -130,11 +131,12 @@
 			withoutCheckpoints += gang.job.spec.checkpoints() ? 0 : 1;
 		}
 		List<String> remarks = new ArrayList<>();
-		remarks.add("Nothing starts in zone " + id + " from the moment it is confirmed.");
-		remarks.add(moves.size() + " jobs checkpoint and find room elsewhere now, " + stops.size()
-				+ " have to stop and wait.");
+		remarks.add("No work is started in zone " + id + " once the change is confirmed.");
+		remarks
+			.add(moves.size() + " jobs checkpoint and fit elsewhere now, " + stops.size() + " have to stop and wait.");
 		if (withoutCheckpoints > 0) {
-			remarks.add(withoutCheckpoints + " jobs can't checkpoint: they may run on until the zone's grace is over.");
+			remarks.add(withoutCheckpoints
+					+ " jobs can't checkpoint: they may keep running until the zone's grace period is over.");
 		}
 		return new PlanEffects(Optional.empty(), moves, stops, layout.atRisk(), remarks);
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
@@ -45,14 +45,14 @@
 		JobState job = this.registry.add(event.job(), event.spec());
 		job.lastAttempt = event.lastAttempt();
 		job.hasCheckpoint = event.hasCheckpoint();
-		job.addExplanation("It was taken over from the former holder of the scheduler's lease.");
+		job.addExplanation("The job was taken over from the previous holder of the scheduler lease.");
 		if (event.placement().isEmpty()) {
 			this.registry.enqueue(job);
 			return;
 		}
 		Gang gang = restoreGang(job, event);
 		if (!event.mayHaveRun()) {
-			this.gangRunner.abandonAndRequeue(gang, "the lease changed hands before it was started", false);
+			this.gangRunner.abandonAndRequeue(gang, "the lease holder changed before the attempt was started", false);
 			return;
 		}
 		this.context.timers.schedule(this.context.now + this.context.policy.timeouts().rejoin().toMillis(),
@@ -115,7 +115,8 @@
 		}
 		for (Member member : gang.members) {
 			if (member.outcome == null && member.worker == null) {
-				this.gangRunner.abandonAndRequeue(gang, "worker " + member.workerId + " did not come back", false);
+				this.gangRunner.abandonAndRequeue(gang, "worker " + member.workerId + " did not register again in time",
+						false);
 				return;
 			}
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
@@ -195,7 +195,7 @@
 		if (usableAccelerators * waitSeconds + job.idleAcceleratorSeconds < eviction.loss()) {
 			return false;
 		}
-		launch(job, eviction, "the room that is kept for job " + job.id + " costs more idle than cleared");
+		launch(job, eviction, "the reservation of job " + job.id + " costs more while idle than an eviction");
 		return true;
 	}
 
@@ -231,7 +231,8 @@
 		if (gain < MIN_GAIN_COST_RATIO * eviction.loss() || !victimsFitElsewhere(eviction)) {
 			return false;
 		}
-		launch(job, eviction, "it makes adjacent room for job " + job.id + " and fits elsewhere");
+		launch(job, eviction,
+				"the move makes adjacent capacity available for job " + job.id + " and the work fits elsewhere");
 		return true;
 	}
 
@@ -274,7 +275,7 @@
 		if (eviction == null || !ownersKeepLargerShare(eviction, shareAfterStart)) {
 			return false;
 		}
-		launch(job, eviction, "customer " + owner.id + " has a smaller share and waits with job " + job.id);
+		launch(job, eviction, "customer " + owner.id + " has a smaller share and a waiting job, " + job.id);
 		return true;
 	}
 
--- a/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/UsageGuard.java
@@ -40,15 +40,16 @@
 		if (member.throttledAt == 0) {
 			member.throttledAt = Math.max(1, this.context.now);
 			this.context.send(new JobCommand.Throttle(gang.attempt, member.index, member.workerId));
-			gang.job.addExplanation("Member " + member.index + " uses more than was declared and is slowed down.");
+			gang.job.addExplanation("Member " + member.index + " uses more resources than declared and is throttled.");
 			return;
 		}
 		boolean throttleDelayOver = this.context.now - member.throttledAt > THROTTLE_REPORT_DELAY_MILLIS;
 		if (throttleDelayOver && memoryExceeded && gang.job.isPreemptible()
 				&& lacksMemory(member.worker, used.memoryMb() - declared.memoryMb())) {
 			this.gangRunner.suspend(gang,
-					"member " + member.index + " uses " + used.memoryMb() + " MiB instead of " + declared.memoryMb()
-							+ " and others on worker " + member.workerId + " would suffer",
+					"member " + member.index + " uses " + used.memoryMb() + " MiB instead of the declared "
+							+ declared.memoryMb() + " and other tasks on worker " + member.workerId
+							+ " would lack memory",
 					this.context.policy.timeouts().checkpoint().toMillis());
 		}
 	}
--- a/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/WorkerHealth.java
@@ -134,8 +134,7 @@
 		}
 		worker.failedJobs.clear();
 		this.context.send(new JobCommand.LogDecision(worker.info.id().value(),
-				"it failed what it started far more often than other workers and gets no work for " + millis / 1000
-						+ " s"));
+				"the worker failed far more often than its peers and is quarantined for " + millis / 1000 + " s"));
 		this.context.timers.schedule(this.context.now + millis, () -> beginProbation(worker));
 	}
 
@@ -145,8 +144,8 @@
 		worker.score = 0;
 		this.quarantined.remove(worker);
 		this.fleet.changed(worker);
-		this.context
-			.send(new JobCommand.LogDecision(worker.info.id().value(), "it is tried with one single task at a time"));
+		this.context.send(new JobCommand.LogDecision(worker.info.id().value(),
+				"the worker is on probation and gets a single task at a time"));
 		int quarantines = worker.quarantines;
 		this.context.timers.schedule(this.context.now + MAX_PROBATION_MILLIS, () -> {
 			if (worker.probation && worker.quarantines == quarantines) {
@@ -160,8 +159,8 @@
 		worker.score = 0;
 		this.fleet.changed(worker);
 		this.guaranteeAllocator.workerOpened(worker);
-		this.context
-			.send(new JobCommand.LogDecision(worker.info.id().value(), "it gets work like any other worker again"));
+		this.context.send(new JobCommand.LogDecision(worker.info.id().value(),
+				"the probation is over; the worker gets work like any other worker"));
 	}
 
 	private double currentScore(WorkerNode worker) {
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -58,7 +58,7 @@
 	void drainWorker(WorkerNode worker) {
 		this.guaranteeAllocator.workerClosed(worker);
 		abandonStarting(gangs(List.of(worker)));
-		suspendCheckpointable(gangs(List.of(worker)), "worker " + worker.info.id() + " is leaving");
+		suspendCheckpointable(gangs(List.of(worker)), "worker " + worker.info.id() + " is draining");
 	}
 
 	private void drainZone(ZoneNode zone) {
@@ -82,7 +82,7 @@
 		for (Gang gang : gangs) {
 			switch (gang.stage) {
 				case AWAITING_EVICTION, COMMITTING, PREPARING ->
-					this.gangRunner.abandonAndRequeue(gang, "a worker of its place takes no new work", false);
+					this.gangRunner.abandonAndRequeue(gang, "a worker of its placement accepts no new work", false);
 				default -> {
 				}
 			}
@@ -100,7 +100,7 @@
 	private void suspendRemaining(Set<Gang> gangs, String reason) {
 		for (Gang gang : gangs) {
 			if (gang.isActive()) {
-				this.gangRunner.suspend(gang, reason + " and its grace is over",
+				this.gangRunner.suspend(gang, reason + " and its grace period is over",
 						this.context.policy.timeouts().checkpoint().toMillis());
 			}
 		}
