--- a/core/src/main/java/org/almondmount/jobs/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Admission.java
@@ -11,7 +11,7 @@
 import org.almondmount.model.Resources;
 
 /**
- * Says on submission whether a job is taken in. Not thread-safe.
+ * Decides on submission whether a job is accepted. Not thread-safe.
  */
 final class Admission {
 
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * Why a job is refused, if it is.
+	 * Checks whether a job has to be refused.
 	 * @param spec the job
-	 * @return the refusal
+	 * @return the refusal, empty if the job is accepted
 	 */
 	Optional<Refusal> refusal(JobSpec spec) {
 		int waitingOfCustomer = this.waiting.customer(spec.customer()).waitingCount;
@@ -47,17 +47,19 @@
 		}
 		if (this.waiting.waitingCount() >= this.context.policy.limits().waiting()) {
 			return Optional.of(Refusal
-				.notRun(RefusalReason.QUEUE_FULL, this.waiting.waitingCount() + " jobs of all customers wait")
+				.notRun(RefusalReason.QUEUE_FULL,
+						this.waiting.waitingCount() + " jobs of all customers are waiting, which is the limit")
 				.withRetryAfter(RETRY_AFTER));
 		}
 		return neverFitsDetail(spec.shape()).map((detail) -> Refusal.notRun(RefusalReason.NEVER_FITS, detail));
 	}
 
 	/**
-	 * What keeps a gang from fitting the empty fleet, zones that are out included because
-	 * they come back. Nothing can be said while no worker is known.
+	 * Explains why a gang could not fit even the empty fleet. Zones that are out of
+	 * service count as available because they come back. While no worker is known, every
+	 * gang is assumed to fit.
 	 * @param shape the gang
-	 * @return the result
+	 * @return the explanation, empty if the gang may fit
 	 */
 	private Optional<String> neverFitsDetail(GangShape shape) {
 		FleetCapacity capacities = this.fleet.emptyCapacity();
@@ -74,7 +76,7 @@
 			return Optional.empty();
 		}
 		return Optional.of("members: " + shape.members() + " with adjacency " + shape.adjacency()
-				+ " are asked for, at most " + maxMembers + " fit together into the empty fleet");
+				+ " are requested, but at most " + maxMembers + " fit together into the empty fleet");
 	}
 
 }
--- a/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Recovery.java
@@ -11,8 +11,8 @@
 import org.almondmount.model.WorkerId;
 
 /**
- * Takes over the jobs of the former lease holder. A placement whose workers announce
- * themselves in time is taken to run on; the others count as lost. Not thread-safe.
+ * Takes over the jobs of the previous lease holder. A placement is assumed to keep
+ * running if its workers register in time; otherwise it counts as lost. Not thread-safe.
  */
 final class Recovery {
 
@@ -26,7 +26,7 @@
 
 	private final GuaranteeAllocator guaranteeAllocator;
 
-	/** Recovered members whose workers have not announced themselves yet. */
+	/** Recovered members whose workers have not registered yet. */
 	private final Map<WorkerId, Set<Member>> unattachedMembers = new HashMap<>();
 
 	Recovery(SchedulerContext context, Fleet fleet, JobRegistry registry, GangRunner gangRunner,
@@ -45,14 +45,14 @@
 		JobState job = this.registry.add(event.job(), event.spec());
 		job.lastAttempt = event.lastAttempt();
 		job.hasCheckpoint = event.hasCheckpoint();
-		job.addExplanation("It was taken over from the former holder of the scheduler's lease.");
+		job.addExplanation("The job was taken over from the previous holder of the scheduler lease.");
 		if (event.placement().isEmpty()) {
 			this.registry.enqueue(job);
 			return;
 		}
 		Gang gang = restoreGang(job, event);
 		if (!event.mayHaveRun()) {
-			this.gangRunner.abandonAndRequeue(gang, "the lease changed hands before it was started", false);
+			this.gangRunner.abandonAndRequeue(gang, "the lease holder changed before the attempt was started", false);
 			return;
 		}
 		this.context.timers.schedule(this.context.now + this.context.policy.timeouts().rejoin().toMillis(),
@@ -115,7 +115,8 @@
 		}
 		for (Member member : gang.members) {
 			if (member.outcome == null && member.worker == null) {
-				this.gangRunner.abandonAndRequeue(gang, "worker " + member.workerId + " did not come back", false);
+				this.gangRunner.abandonAndRequeue(gang, "worker " + member.workerId + " did not register again in time",
+						false);
 				return;
 			}
 		}
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -8,13 +8,13 @@
 import org.almondmount.model.Configuration;
 
 /**
- * Moves work out of zones that are out of service and off workers that leave. Not
+ * Moves work out of zones that are out of service and off draining workers. Not
  * thread-safe.
  * <p>
- * Nothing new is placed there from the moment the configuration is known; attempts that
- * do not run yet are given up at once. What runs is left alone for a settling time, so
- * that a zone that flaps moves nothing; then it checkpoints and moves. What can't
- * checkpoint may run on until the grace is over.
+ * As soon as the configuration is known, no new work is placed there, and attempts that
+ * have not started are abandoned. In a zone, running work is not touched for a settling
+ * time, so that a flapping zone moves no work; then it is checkpointed and moved. Work
+ * that can't checkpoint may keep running until the grace period ends.
  */
 final class ZoneDrain {
 
@@ -52,13 +52,13 @@
 	}
 
 	/**
-	 * Moves work off a worker that leaves.
+	 * Moves work off a draining worker.
 	 * @param worker the worker
 	 */
 	void drainWorker(WorkerNode worker) {
 		this.guaranteeAllocator.onWorkerUnavailable(worker);
 		abandonStarting(gangs(List.of(worker)));
-		suspendCheckpointable(gangs(List.of(worker)), "worker " + worker.info.id() + " is leaving");
+		suspendCheckpointable(gangs(List.of(worker)), "worker " + worker.info.id() + " is draining");
 	}
 
 	private void drainZone(ZoneNode zone) {
@@ -82,7 +82,7 @@
 		for (Gang gang : gangs) {
 			switch (gang.stage) {
 				case AWAITING_EVICTION, COMMITTING, PREPARING ->
-					this.gangRunner.abandonAndRequeue(gang, "a worker of its place takes no new work", false);
+					this.gangRunner.abandonAndRequeue(gang, "a worker of its placement accepts no new work", false);
 				default -> {
 				}
 			}
@@ -100,7 +100,7 @@
 	private void suspendRemaining(Set<Gang> gangs, String reason) {
 		for (Gang gang : gangs) {
 			if (gang.isActive()) {
-				this.gangRunner.suspend(gang, reason + " and its grace is over",
+				this.gangRunner.suspend(gang, reason + " and its grace period is over",
 						this.context.policy.timeouts().checkpoint().toMillis());
 			}
 		}
