--- a/core/src/main/java/org/almondmount/workflow/impl/CheckpointPersister.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CheckpointPersister.java
@@ -7,22 +7,22 @@
 import org.almondmount.workflow.SchedulerFeature;
 
 /**
- * Has the checkpoints kept that workers tell of. Mutable; owned by the scheduler.
+ * Persists the checkpoints that workers report. Mutable; owned by the scheduler.
  * <p>
  * A checkpoint that only the holder and the worker know is lost when both lose power, and
- * the task begins anew however often it had saved. So what is saved goes into the store
- * within about a second, the most work first. One transaction a second bounds what it
- * costs, whatever the size of the fleet: it takes the place of the one that renews the
- * term.
+ * the task starts from the beginning however often it had saved its progress. Reported
+ * checkpoints are therefore persisted within about a second, jobs with the most
+ * unpersisted work first. At most one transaction per second bounds the cost at any fleet
+ * size: it replaces the transaction that renews the term.
  */
 final class CheckpointPersister {
 
-	/** Pause between two transactions that keep nothing but checkpoints. */
+	/** Minimum interval between two transactions that persist only checkpoints. */
 	private static final long INTERVAL_MILLIS = 1_000;
 
 	/**
-	 * Tasks whose jobs go into one transaction: a row of 64 KB holds 2,500 of them, and a
-	 * transaction of the store 1 MB.
+	 * Maximum number of tasks whose jobs are written in one transaction: a row of 64 KB
+	 * holds 2,500 tasks, and a transaction of the store is limited to 1 MB.
 	 */
 	private static final int MAX_TASKS = 25_000;
 
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashAttribution.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashAttribution.java
@@ -11,15 +11,19 @@
 import org.almondmount.workflow.WorkerReport.Crashed;
 
 /**
- * Divides the blame for a crash among the steps that were at work there. Stateless.
+ * Divides the blame for a worker crash among the steps whose tasks were running on the
+ * worker. Stateless.
  * <p>
- * Tasks that crash their workers mostly do so soon after their start, so the younger a
- * run the more of the blame falls on it. Tasks of one step are alike and share its blame
- * whole.
+ * A task that crashes its worker usually does so soon after its start, so younger runs
+ * receive more of the blame. Tasks of one step behave alike, so each of them is assigned
+ * the full blame of the step.
  */
 final class CrashAttribution {
 
-	/** An age in milliseconds at which half as much speaks against a run as at once. */
+	/**
+	 * Age in milliseconds at which the weight of a run is half of its weight at the
+	 * start.
+	 */
 	private static final double HALF_WEIGHT_AGE_MILLIS = 500;
 
 	private static final int MAX_PERCENT = 100;
@@ -28,8 +32,8 @@
 	}
 
 	/**
-	 * Judges what crashed with one life or several ones.
-	 * @param runs the runs that were at work
+	 * Attributes the crashes of one or more worker lives.
+	 * @param runs the runs that were running when their worker crashed
 	 * @return the crash of each task
 	 */
 	static List<TaskCrash> attribute(List<Crashed> runs) {
@@ -67,7 +71,7 @@
 	}
 
 	/**
-	 * A task with a crash under it.
+	 * A task and a worker crash during one of its runs.
 	 */
 	record TaskCrash(TaskId task, Crash crash) {
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
@@ -8,62 +8,76 @@
 import org.almondmount.workflow.WorkerLife;
 
 /**
- * The workers that crashed under a task. Mutable; owned by the scheduler.
+ * The worker crashes during the runs of one task. Mutable; owned by the scheduler.
  * <p>
- * A task may crash each worker that starts it, and would take down one after the other,
- * with all that runs there, for as long as it is begun anew. Sound tasks are under
- * crashes too: everything on the worker goes with it, and workers crash for reasons of
- * their own. So a suspect is begun where it takes nothing down, and is given up once most
- * of the blame falls on it and its workers crashed at the same point of its work.
+ * A task that crashes every worker that starts it would take down one worker after the
+ * other, with everything that runs there, as long as it is restarted. Tasks that are not
+ * to blame experience crashes too, since a crash ends all runs of the worker and workers
+ * also crash for other reasons. A suspect is therefore started where it can harm no other
+ * work, and its job fails once most of the blame falls on the task and its workers
+ * crashed at the same point of its work.
  */
 final class CrashHistory {
 
 	/**
-	 * A task is given up after so many crashes of which one was seen, whatever speaks for
-	 * it: the reports of the others are lost where all processes are killed before they
-	 * are kept.
+	 * Number of crashes, at least one of them observed, after which the task is given up
+	 * regardless of blame and age: the reports of the other crashes are lost if all
+	 * processes are killed before the reports are persisted.
 	 */
 	private static final int MAX_CRASHES = 5;
 
 	/**
-	 * Seen crashes at the same age; fewer may be chance: workers crash for reasons of
-	 * their own.
+	 * Minimum number of observed crashes at the same age for giving up the task; fewer
+	 * can be a coincidence, since workers also crash for other reasons.
 	 */
 	private static final int MIN_OBSERVED_CRASHES = 3;
 
-	/** Blame of a suspect, in percent of one crash. */
+	/** Blame from which a task is a suspect, in percent of one crash. */
 	private static final int SUSPECT_BLAME_PERCENT = 50;
 
-	/** Blame of a task that is given up, in percent of one crash. */
+	/** Blame from which a task is given up, in percent of one crash. */
 	private static final int GIVE_UP_BLAME_PERCENT = 200;
 
-	/** Crashes of a sound task: by then it is better kept apart. */
+	/**
+	 * Number of crashes from which a task is a suspect whatever its blame. A task that is
+	 * not to blame may reach it too, but is then better isolated.
+	 */
 	private static final int SUSPECT_CRASH_COUNT = 3;
 
 	/**
-	 * The ages at which a task crashes its workers differ by no more, in milliseconds: an
-	 * age is known up to the pause between two answers of a worker.
+	 * Maximum difference between ages that count as the same point of the task's work, in
+	 * milliseconds. The age of a run is known only to within the interval between two
+	 * responses of its worker.
 	 */
 	private static final long SAME_AGE_TOLERANCE_MILLIS = 1_500;
 
-	/** A run that is so much older than its task's crashes is not to blame for them. */
+	/**
+	 * A run that is older than the crashes of its task by more than this, in
+	 * milliseconds, is no longer a risk to its worker.
+	 */
 	private static final long SAFE_AGE_MARGIN_MILLIS = 2_000;
 
-	/** A suspect waits no longer for a worker of its own, in milliseconds. */
+	/**
+	 * Maximum time that a suspect waits for a worker on which nothing else runs, in
+	 * milliseconds.
+	 */
 	private static final long ISOLATION_TIMEOUT_MILLIS = 2_000;
 
 	private final List<Crash> crashes = new ArrayList<>();
 
 	private long isolatedUntilMillis = Long.MIN_VALUE;
 
-	/** Crashes of runs up to this one are forgotten for good; reports are repeated. */
+	/**
+	 * Crashes of runs up to this number are ignored permanently, because crash reports
+	 * are repeated.
+	 */
 	private int clearedUpToRun;
 
 	/**
-	 * Takes note of a crash.
+	 * Records a crash.
 	 * @param now the steady clock
 	 * @param crash the crash
-	 * @return whether it is a new one; reports are repeated
+	 * @return whether the crash is new; reports are repeated
 	 */
 	boolean add(long now, Crash crash) {
 		if (isKnown(crash)) {
@@ -85,18 +99,18 @@
 	}
 
 	/**
-	 * Takes note of a run that ended otherwise. After the crashes that make a suspect,
-	 * each start counts against the bound, however it ends.
+	 * Records a run that ended without a worker crash. Once the task has as many crashes
+	 * as make it a suspect, each start counts towards the maximum, however it ends.
 	 * @param now the steady clock
 	 * @param run the run's number
 	 * @param life the life of the worker
-	 * @return whether it counts
+	 * @return whether the run counts
 	 */
 	boolean countRun(long now, int run, WorkerLife life) {
 		return this.crashes.size() >= SUSPECT_CRASH_COUNT && add(now, Crash.unseen(run, life));
 	}
 
-	/** A run of the task has shown that it is not to blame. */
+	/** Clears the history after a run has shown that the task is not to blame. */
 	void clear() {
 		for (Crash crash : this.crashes) {
 			this.clearedUpToRun = Math.max(this.clearedUpToRun, crash.run());
@@ -109,8 +123,8 @@
 	}
 
 	/**
-	 * Whether the task is not to be begun any more.
-	 * @return whether enough speaks against it
+	 * Whether the task must not be started again.
+	 * @return whether its crashes reach one of the limits
 	 */
 	boolean shouldGiveUp() {
 		long observedCount = observed().count();
@@ -125,9 +139,9 @@
 	}
 
 	/**
-	 * With what company the task may be begun.
+	 * Returns the isolation that the task needs at its next start.
 	 * @param now the steady clock
-	 * @return how careful to be
+	 * @return the isolation level
 	 */
 	IsolationLevel isolation(long now) {
 		if (!isSuspect()) {
@@ -137,8 +151,8 @@
 	}
 
 	/**
-	 * Until what age its runs may still crash their worker.
-	 * @return milliseconds at work
+	 * Returns the age up to which a run of the task may still crash its worker.
+	 * @return milliseconds of work
 	 */
 	long riskPeriodMillis() {
 		return maxAgeMillis() + SAFE_AGE_MARGIN_MILLIS;
--- a/core/src/main/java/org/almondmount/workflow/impl/DeadlineEstimate.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DeadlineEstimate.java
@@ -7,39 +7,42 @@
 import org.almondmount.workflow.Step;
 
 /**
- * How a step that waits stands against its job's objective, as far as the job's run time
- * can be foreseen. Immutable.
+ * Whether a waiting step can still meet its job's latency objective, according to the
+ * estimated run time of the job. Immutable.
  * <p>
- * It answers bursts of urgent jobs of which some are wider than the fleet. Placed by
- * their latest start alone, a job that can't be in time any more takes the workers that
- * the next one needs to be in time, and both are late.
+ * This matters in bursts of urgent jobs of which some need more workers than the fleet
+ * has. If jobs were ordered by latest start alone, a job that can no longer be in time
+ * would take the workers that the next job needs to be in time, and both would be late.
  *
- * @param timeliness what placing it now can still do
- * @param latestStartMillis by when it has to start to be in time, in milliseconds since
- * 1970
- * @param remainingCoreSeconds the work that its job has left
+ * @param timeliness the benefit of placing the step now
+ * @param latestStartMillis the latest start for the job to be in time, in milliseconds
+ * since 1970
+ * @param remainingCoreSeconds the remaining work of its job
  */
 record DeadlineEstimate(Timeliness timeliness, long latestStartMillis, double remainingCoreSeconds) {
 
-	/** Up to three objectives after its hand-in a result is late but still of use. */
+	/**
+	 * A late result is still useful up to this multiple of the objective after the
+	 * submission.
+	 */
 	private static final int MAX_USEFUL_OBJECTIVES = 3;
 
 	/**
-	 * After as many objectives it no longer waits behind newer work: three times as long
-	 * as a late result is of use.
+	 * Multiple of the objective after which a job no longer waits behind newer work:
+	 * three times as long as a late result is useful.
 	 */
 	private static final int STARVATION_OBJECTIVES = 9;
 
 	private static final double MILLIS_PER_SECOND = 1_000.0;
 
 	/**
-	 * Works out the outlook of a step.
+	 * Estimates the timeliness of a step.
 	 * @param wallMillis milliseconds since 1970
 	 * @param queue the queue of its job
-	 * @param step the step, whose turn has come
-	 * @param dueMillis since when its job could have run
+	 * @param step the step, whose predecessors are done
+	 * @param dueMillis the time from which its job could run
 	 * @param eligible the workers that may run it
-	 * @return its outlook
+	 * @return the estimate
 	 */
 	static DeadlineEstimate of(long wallMillis, JobQueue queue, StepState step, long dueMillis, List<Worker> eligible) {
 		long latest = latestStart(queue, step, dueMillis, 1);
@@ -57,11 +60,12 @@
 	}
 
 	/**
-	 * By when a step has to start for its job to end within some objectives.
+	 * Returns the latest start of a step for its job to end within a multiple of its
+	 * objective.
 	 * @param queue the queue of its job
 	 * @param step the step
-	 * @param dueMillis since when its job could have run
-	 * @param objectives how many objectives
+	 * @param dueMillis the time from which its job could run
+	 * @param objectives the multiple of the objective
 	 * @return milliseconds since 1970
 	 */
 	static long latestStart(JobQueue queue, StepState step, long dueMillis, int objectives) {
@@ -78,8 +82,8 @@
 				: Timeliness.STARVED;
 	}
 
-	// Tasks of a step that is wider than the fleet run in waves, and the last wave has to
-	// start in time.
+	// If a step has more tasks than the fleet can run at once, the tasks run in waves,
+	// and the last wave has to start in time.
 	private static boolean fitsInTime(long slackMillis, StepState step, List<Worker> eligible) {
 		long expected = Math.max(1, step.expectedMillis());
 		long waves = 1 + slackMillis / expected;
@@ -101,10 +105,10 @@
 	}
 
 	/**
-	 * The work of some tasks.
-	 * @param step their step
-	 * @param tasks how many there are
-	 * @return core-seconds, an accelerator counting for several cores
+	 * Returns the estimated work of a number of tasks of a step.
+	 * @param step the step
+	 * @param tasks the number of tasks
+	 * @return core-seconds, where an accelerator counts as several cores
 	 */
 	static double coreSeconds(StepState step, long tasks) {
 		return step.spec().demand().coreEquivalents() * tasks * step.expectedMillis() / MILLIS_PER_SECOND;
--- a/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
@@ -15,7 +15,8 @@
 import org.almondmount.workflow.WorkflowScheduler;
 
 /**
- * The decisions of the holder of the scheduler's term. Deterministic; not thread-safe.
+ * Makes the scheduling decisions of the holder of the scheduler's term. Deterministic;
+ * not thread-safe.
  */
 public final class DefaultWorkflowScheduler implements WorkflowScheduler {
 
@@ -75,8 +76,9 @@
 		return waiting;
 	}
 
-	// What changed since the last round and what the round chose go into one transaction;
-	// a round may rest for a while, and callers wait for what changed.
+	// The changes since the last placement round and the decisions of the round are
+	// written in one transaction. A tick completes a batch too, because the next round
+	// may be delayed while callers wait for the changes.
 	private static boolean completesBatch(WorkflowEvent event) {
 		return event instanceof WorkflowEvent.PlacementDue || event instanceof WorkflowEvent.Tick;
 	}
@@ -192,8 +194,8 @@
 		this.runLifecycle.stopObsolete(job);
 	}
 
-	// Runs of earlier terms may name several lives of one worker. They are all taken to
-	// the latest one, where each is found, or stopped for certain.
+	// Runs of earlier terms may name several lives of one worker. All of them are moved
+	// to the latest life, where each is either found running or reliably stopped.
 	private void inherit(TaskState task, OpenRun open) {
 		Worker worker = this.state.worker(open.target(), open.life());
 		if (worker.life().bornMillis() < open.life().bornMillis()) {
--- a/core/src/main/java/org/almondmount/workflow/impl/EndedJobCleanup.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/EndedJobCleanup.java
@@ -8,22 +8,26 @@
 import org.almondmount.workflow.WorkflowCommand;
 
 /**
- * Has ended jobs removed once nobody asks for them any more: each is read again by every
- * new holder of the term, and the store would fill up. Mutable; owned by the scheduler.
+ * Removes ended jobs that callers no longer query: each new holder of the term reads all
+ * jobs again, and the store would fill up. Mutable; owned by the scheduler.
  */
 final class EndedJobCleanup {
 
 	/**
-	 * Ended jobs are looked for this often; a removal is paid for like any other write.
+	 * Interval between two searches for removable jobs; a removal costs as much as any
+	 * other write.
 	 */
 	private static final long SWEEP_INTERVAL_MILLIS = 10_000;
 
-	/** A job has up to two rows in one transaction of a hundred. */
+	/**
+	 * Maximum number of jobs in one removal: a job has up to two rows, and a transaction
+	 * takes a hundred.
+	 */
 	private static final int MAX_JOBS_PER_REMOVAL = 40;
 
 	/**
-	 * A repeated hand-in that was on its way for long must still find the job, in
-	 * milliseconds. Such calls come some seconds late.
+	 * Time in milliseconds for which a repeated submission that was delayed in transit
+	 * must still find the job. Such calls arrive some seconds late.
 	 */
 	private static final long LATE_RETRY_MILLIS = 60_000;
 
@@ -66,9 +70,8 @@
 		this.state.explain("jobs-forgotten", "jobs", jobs.size(), "known", this.state.jobs().size());
 	}
 
-	// Since when a job is over is not kept. After a change of holder the time begins
-	// anew,
-	// which keeps it longer and never shorter.
+	// The time at which a job ended is not persisted. After a change of holder the
+	// retention time starts again, so a job may be kept longer but never shorter.
 	private boolean isRemovable(long now, JobState job) {
 		if (!job.persistedPhase().over() || !job.openRuns().isEmpty()) {
 			return false;
--- a/core/src/main/java/org/almondmount/workflow/impl/GuaranteedJobs.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/GuaranteedJobs.java
@@ -9,15 +9,15 @@
 import org.almondmount.workflow.FleetCustomer;
 
 /**
- * Which urgent jobs belong to their customers' guarantees. Immutable, made anew for each
- * round of placing.
+ * The urgent jobs that are covered by their customers' guarantees. Immutable; created for
+ * each placement round.
  * <p>
- * A customer's urgent jobs belong to its guarantee in the order of their arrival, as long
- * as the accelerators of all of them together stay within it.
+ * A customer's urgent jobs are covered in the order of their arrival, as long as the
+ * accelerators of all covered jobs together stay within the guarantee.
  */
 final class GuaranteedJobs {
 
-	/** No job of anybody. */
+	/** Covers no job. */
 	static final GuaranteedJobs NONE = new GuaranteedJobs(Set.of());
 
 	private final Set<String> jobs;
--- a/core/src/main/java/org/almondmount/workflow/impl/IsolationLevel.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/IsolationLevel.java
@@ -1,17 +1,18 @@
 package org.almondmount.workflow.impl;
 
 /**
- * What company a unit may have on its worker, by the crashes that its tasks were under.
+ * How far a unit has to be isolated from other work on its worker, according to the crash
+ * history of its tasks.
  */
 enum IsolationLevel {
 
-	/** Any. */
+	/** No isolation. */
 	NONE,
 
-	/** It is a suspect: it goes where it would take the least work down with it. */
+	/** The unit is a suspect and is placed where a crash would lose the least work. */
 	MINIMIZE_IMPACT,
 
-	/** It is a suspect, and waits for a worker on which nothing else runs. */
+	/** The unit is a suspect and waits for a worker on which no other step runs. */
 	ALONE;
 
 	boolean isSuspect() {
@@ -19,10 +20,10 @@
 	}
 
 	/**
-	 * Whether a worker is out of the question.
+	 * Whether the unit must not be placed on a worker.
 	 * @param worker the worker
 	 * @param step the unit's step
-	 * @return whether work of other steps there keeps the unit away
+	 * @return whether the unit has to run alone and other steps run on the worker
 	 */
 	boolean forbids(Worker worker, StepState step) {
 		return this == ALONE && worker.runsOtherStep(step);
--- a/core/src/main/java/org/almondmount/workflow/impl/JobState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/JobState.java
@@ -15,7 +15,7 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * A job. Mutable; owned by the scheduler.
+ * The state of a job. Mutable; owned by the scheduler.
  */
 final class JobState {
 
@@ -77,8 +77,8 @@
 	}
 
 	/**
-	 * Work that a checkpoint holds which is not kept yet.
-	 * @return core-seconds since the last checkpoints that were kept
+	 * Returns the work in checkpoints that are not yet persisted.
+	 * @return core-seconds since the last persisted checkpoints
 	 */
 	double unpersistedCoreSeconds() {
 		return this.unpersistedCoreSeconds;
@@ -88,15 +88,18 @@
 		this.unpersistedCoreSeconds += coreSeconds;
 	}
 
-	/** All that is known of it goes into the next transaction. */
+	/**
+	 * Resets the unpersisted work, because the next transaction writes the complete state
+	 * of the job.
+	 */
 	void clearUnpersistedWork() {
 		this.unpersistedCoreSeconds = 0;
 	}
 
 	/**
-	 * Whether all steps that a step waits for are done.
+	 * Whether all steps that a step depends on are done.
 	 * @param step the step
-	 * @return whether its turn has come
+	 * @return whether the step may start
 	 */
 	boolean predecessorsDone(StepState step) {
 		for (int predecessor : step.spec().after()) {
@@ -108,8 +111,8 @@
 	}
 
 	/**
-	 * Works out anew how long its steps will probably take.
-	 * @param estimator what was learnt of tasks
+	 * Updates the run time estimates of the steps.
+	 * @param estimator the run times learnt from ended tasks
 	 */
 	void updateEstimates(RunTimeEstimator estimator) {
 		Map<StepKey, Long> followerPathMillis = new HashMap<>();
@@ -125,7 +128,7 @@
 	}
 
 	/**
-	 * How long the longest chain of work of an occurrence will probably take.
+	 * Returns the estimated length of the critical path of an occurrence.
 	 * @param occurrence the occurrence
 	 * @return milliseconds
 	 */
@@ -180,7 +183,7 @@
 	}
 
 	/**
-	 * Takes over what was kept; open runs are left to the caller.
+	 * Restores the persisted state; open runs are left to the caller.
 	 * @param persisted the record
 	 */
 	void restore(JobRecord persisted) {
--- a/core/src/main/java/org/almondmount/workflow/impl/PendingUnits.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PendingUnits.java
@@ -13,15 +13,16 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * Finds what waits for a worker, and the order in which it is placed. Owned by the
- * scheduler.
+ * Finds the units that wait for workers and determines the order in which they are
+ * placed. Owned by the scheduler.
  */
 final class PendingUnits {
 
 	/**
-	 * Guaranteed work first; what is of no use any more last. In between the urgent
-	 * queues come first, within a queue what can still be in time, and of that what has
-	 * to start earliest.
+	 * Guaranteed work comes first, and work that is of no more use comes last. In
+	 * between, units are ordered by the priority of their queue; within a queue, units
+	 * that can be in time come first, and among these the unit with the earliest latest
+	 * start.
 	 */
 	private static final Comparator<WorkUnit> ORDER = Comparator.comparing((WorkUnit unit) -> !unit.guaranteed())
 		.thenComparing((unit) -> unit.deadline().timeliness().waitsBehindAll())
@@ -33,7 +34,7 @@
 
 	private GuaranteedJobs guaranteed = GuaranteedJobs.NONE;
 
-	/** Workers by pool and required label, as far as this round has asked for them. */
+	/** Workers by pool and required label, cached for the current round. */
 	private final Map<List<String>, List<Worker>> eligible = new HashMap<>();
 
 	PendingUnits(SchedulerState state) {
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * What could start now if there was room.
+	 * Returns the units that could start now if capacity were available.
 	 * @return the units in the order in which they are placed
 	 */
 	List<WorkUnit> inPlacementOrder() {
@@ -68,9 +69,10 @@
 	}
 
 	/**
-	 * Whether a job belonged to its customer's guarantee when the order was last made.
+	 * Whether a job was covered by its customer's guarantee when the order was last
+	 * determined.
 	 * @param job the job
-	 * @return whether it did
+	 * @return whether it was covered
 	 */
 	boolean isGuaranteed(JobState job) {
 		return this.guaranteed.contains(job);
@@ -127,7 +129,7 @@
 	}
 
 	/**
-	 * Since when a step's job could have run.
+	 * Returns the time from which the job of a step could run.
 	 * @param step the step
 	 * @return milliseconds since 1970
 	 */
--- a/core/src/main/java/org/almondmount/workflow/impl/PlacementRound.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PlacementRound.java
@@ -16,38 +16,48 @@
 import org.almondmount.workflow.WorkOutcome;
 
 /**
- * Decides what starts now, where, and what gives way to it. Owned by the scheduler.
+ * Decides which units start now, on which workers, and which runs are preempted for them.
+ * Owned by the scheduler.
  */
 final class PlacementRound {
 
-	/** The first units that do not fit; more would leave the fleet idle for guesses. */
+	/**
+	 * Maximum number of reservations, made for the first units that do not fit. More
+	 * would leave workers idle on the basis of estimates.
+	 */
 	private static final int MAX_RESERVATIONS = 2;
 
-	/** Part of the fleet's room that may stand idle beside work that would fit. */
+	/**
+	 * Maximum share of the fleet's capacity that may be kept idle by reservations while
+	 * other work would fit.
+	 */
 	private static final double MAX_RESERVED_SHARE = 0.5;
 
 	/**
-	 * Work that an urgent job beyond its guarantee may have thrown away, in parts of its
-	 * own. An urgent result is worth about three times as much to its caller as the same
-	 * work of the next queue, and what gives way waits for it besides.
+	 * Maximum work that may be lost by preemption for an urgent job beyond its guarantee,
+	 * as a multiple of the job's own work. An urgent result is worth about three times as
+	 * much to its caller as the same work of the next queue, and the preempted work is
+	 * delayed in addition.
 	 */
 	private static final double MAX_PREEMPTION_COST_RATIO = 2.0;
 
 	/**
-	 * Work that is thrown away rather than have an urgent caller wait, in parts of the
-	 * urgent job's own.
+	 * Work that is lost by preemption even if the urgent job would be in time without it,
+	 * as a fraction of the job's own work.
 	 */
 	private static final double NEGLIGIBLE_COST_RATIO = 0.1;
 
 	/**
-	 * Nothing gives way so early in a term, in milliseconds: targets come to a new holder
-	 * one after the other, and room that is not known yet looks like no room.
+	 * Time in milliseconds after the start of a term during which no run is preempted:
+	 * targets connect to a new holder one after the other, and capacity that is not yet
+	 * known looks like missing capacity.
 	 */
 	private static final long PREEMPTION_DELAY_MILLIS = 1_000;
 
 	/**
-	 * A guarantee does not wait for the last of them, in milliseconds: it has a bound of
-	 * its own, of which a stop takes a part.
+	 * The same delay for guaranteed work, in milliseconds. It does not wait for the last
+	 * targets, because a guarantee has a time limit of its own, part of which is taken by
+	 * stopping the preempted runs.
 	 */
 	private static final long GUARANTEE_PREEMPTION_DELAY_MILLIS = 300;
 
@@ -63,11 +73,15 @@
 
 	private final List<Reservation> reservations = new ArrayList<>();
 
-	/** Steps of which a task found no room in this round: the others find none either. */
+	/**
+	 * Steps of which one task did not fit in this round, so that the other tasks do not
+	 * fit either.
+	 */
 	private final Set<StepState> unplaceableSteps = new HashSet<>();
 
 	/**
-	 * Room that is being cleared, by the first task of the unit that it is cleared for.
+	 * Placements whose capacity is being freed by preemption, by the first task of the
+	 * unit for which it is freed.
 	 */
 	private final Map<TaskState, Map<TaskState, Worker>> preemptedPlacements = new LinkedHashMap<>();
 
@@ -83,7 +97,7 @@
 		this.preemptedPlacements.clear();
 	}
 
-	/** Starts what can be started. */
+	/** Starts all units that can be started. */
 	void run() {
 		if (this.state.epoch() == 0) {
 			return;
@@ -125,8 +139,8 @@
 		}
 	}
 
-	// Room that was cleared over several racks is not found where only whole racks are
-	// looked at.
+	// Capacity that was freed across several racks is not found by a search that
+	// considers only complete racks.
 	private Optional<Map<TaskState, Worker>> placeOnPreemptedCapacity(WorkUnit unit) {
 		Map<TaskState, Worker> preempted = this.preemptedPlacements.get(unit.firstTask());
 		if (preempted == null) {
@@ -142,9 +156,10 @@
 		}
 	}
 
-	// A gang that is nearly as wide as the fleet would keep all of it idle until the last
-	// run ends that stands in its way, and every other caller would wait before free
-	// workers. Work that fits takes them until half of the fleet is in use.
+	// A gang that needs nearly the whole fleet would keep all of it idle until the last
+	// run that is in its way ends, and all other callers would wait although workers are
+	// free. Capacity is therefore reserved only once half of the fleet is in use; until
+	// then, work that fits takes it.
 	private static boolean isHalfOfFleetUsed(WorkUnit unit) {
 		ResourceAmount total = ResourceAmount.NONE;
 		ResourceAmount free = ResourceAmount.NONE;
@@ -162,8 +177,8 @@
 		return Reservation.earliest(this.state.steadyMillis(), unit, choices);
 	}
 
-	// Workers tell of themselves one after the other when a term begins. Runs would be
-	// stopped for a job that finds free workers a moment later.
+	// Workers report one after the other when a term begins. Without the delay, runs
+	// would be stopped for a job that finds free workers a moment later.
 	private boolean isFleetKnown(WorkUnit unit) {
 		return this.state
 			.termAgeMillis() >= (unit.guaranteed() ? GUARANTEE_PREEMPTION_DELAY_MILLIS : PREEMPTION_DELAY_MILLIS);
@@ -183,10 +198,11 @@
 		}
 	}
 
-	// A burst of urgent jobs finds the fleet full of work that has time. What has just
-	// begun or is saved loses little by making room, if all of the step's tasks fit then:
-	// one task in time does not help a job whose other tasks wait. The stop itself takes
-	// time, so that a short job gains nothing by it.
+	// In a burst of urgent jobs the fleet may be full of work that is not urgent. Runs
+	// that have just begun or that save checkpoints lose little by preemption. Runs are
+	// preempted only if all tasks of the step fit afterwards: one task in time does not
+	// help a job whose other tasks wait. Stopping runs takes time as well, so a short job
+	// gains nothing by it.
 	private void preemptBeyondGuarantee(WorkUnit unit) {
 		boolean stopsInTime = this.state.wallMillis() + this.state.policy().stopMillis() <= unit.deadline()
 			.latestStartMillis();
@@ -202,8 +218,8 @@
 			.ifPresent((plan) -> preempt(unplacedTasks, plan));
 	}
 
-	// Much of what runs ends by itself within the second or two that an urgent job can
-	// wait. Should it not, there is still time for it to give way.
+	// Many runs end by themselves within the second or two that an urgent job can wait.
+	// If they do not, there is still time to preempt them.
 	private boolean fitsInTimeWithoutPreemption(WorkUnit unplacedTasks) {
 		if (!this.state.has(SchedulerFeature.WAIT_BEFORE_GIVING_WAY)) {
 			return false;
@@ -217,9 +233,8 @@
 		return task.idle() && !task.done() && !this.preemptedPlacements.containsKey(task);
 	}
 
-	// A guarantee is reclaimed at any price, so the price is looked at before: to clear a
-	// rack may throw away many times the work that a gang loses by running slowly over
-	// several ones.
+	// A guarantee is reclaimed at any cost, so the costs are compared first: clearing one
+	// rack may lose many times the work that a gang loses by running slowly across racks.
 	private Optional<PreemptionPlanner.Plan> planForGuarantee(WorkUnit unit, Predicate<Run> preemptible) {
 		Optional<PreemptionPlanner.Plan> preferredPlan = plan(unit, preemptible);
 		if (preferredPlan.isEmpty() || !this.placer.requiresOneRack(unit, unit.workers())) {
@@ -250,7 +265,8 @@
 		plan.victims().forEach((run) -> this.runLifecycle.stop(run, WorkOutcome.GAVE_WAY));
 	}
 
-	// Where urgent work of other customers took all room beyond their own guarantees.
+	// Used when urgent work of other customers has taken all capacity beyond their own
+	// guarantees.
 	private boolean isBeyondGuarantee(Run run) {
 		StepState step = run.task().step();
 		return !this.pendingUnits.isGuaranteed(step.job()) && step.spec().service().mayMiss() == 0;
@@ -262,7 +278,8 @@
 		return !urgent && step.spec().service().mayMiss() == 0;
 	}
 
-	// A run that starts anew after what it gave way to has ended must still be in time.
+	// A run that is started again after the work that preempted it has ended must still
+	// be in time.
 	private boolean canRestartInTime(Run run, long delayMillis) {
 		StepState step = run.task().step();
 		long restartMillis = this.state.wallMillis() + this.state.policy().stopMillis() + delayMillis;
@@ -271,7 +288,7 @@
 			.orElse(false);
 	}
 
-	// Room that was cleared for one unit is not there for any other.
+	// Capacity that was freed for one unit is not available to any other unit.
 	private TentativeCapacity capacityFor(WorkUnit unit) {
 		TentativeCapacity capacity = TentativeCapacity.available();
 		this.preemptedPlacements.forEach((firstTask, placement) -> {
--- a/core/src/main/java/org/almondmount/workflow/impl/Placer.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Placer.java
@@ -17,23 +17,32 @@
 /**
  * Chooses workers for a unit. Stateless.
  * <p>
- * A unit goes where it leaves the least room, so that whole workers and racks stay free
- * for what needs them. A gang that is slow across racks goes into one rack or waits,
- * unless no rack could hold it even if it were empty: spread over racks it would take
- * three times as long and hold its accelerators all the while.
+ * A unit is placed where it leaves the least free capacity, so that complete workers and
+ * racks stay free for units that need them. A gang that is slow across racks is placed in
+ * one rack or waits, unless no rack could hold it even if it were empty: across racks it
+ * would take three times as long and hold its accelerators for all that time.
  */
 final class Placer {
 
-	/** How many times as long a gang that wants one rack takes over several. */
+	/** Factor by which a gang that prefers one rack is slower across several racks. */
 	static final double CROSS_RACK_SLOWDOWN = 3;
 
-	/** More than the room of a whole worker, so that the near rack always wins. */
+	/**
+	 * Cost of a worker in another rack than the unit's data. It is more than the capacity
+	 * of a whole worker, so that the rack of the data always wins.
+	 */
 	private static final double REMOTE_RACK_COST = 10;
 
-	/** One failed job outweighs a better fit, not the rack of the data. */
+	/**
+	 * Cost of each failed job on a worker. One failed job outweighs a better fit, but not
+	 * the rack of the data.
+	 */
 	private static final double FAILED_JOB_COST = 3;
 
-	/** To a suspect ten core-seconds of others' work weigh as much as its data's rack. */
+	/**
+	 * Cost of each core-second of other work that a crash may lose. For a suspect, ten
+	 * core-seconds weigh as much as the rack of its data.
+	 */
 	private static final double CORE_SECOND_COST = 1;
 
 	private final SchedulerPolicy policy;
@@ -47,10 +56,10 @@
 
 	/**
 	 * Chooses workers.
-	 * @param unit what is to be placed
-	 * @param workers those that may run it
-	 * @param capacities makes the room that is there; called for each try
-	 * @return the worker of each task, or empty where it does not fit now
+	 * @param unit the unit to place
+	 * @param workers the workers that may run it
+	 * @param capacities supplies the available capacity; called for each attempt
+	 * @return the worker of each task, or empty if the unit does not fit now
 	 */
 	Optional<Map<TaskState, Worker>> place(WorkUnit unit, List<Worker> workers,
 			Supplier<TentativeCapacity> capacities) {
@@ -71,11 +80,11 @@
 	}
 
 	/**
-	 * The racks of workers, the one near the unit's data first, then those with the least
-	 * room.
+	 * Groups workers by rack. The rack near the unit's data comes first, followed by the
+	 * other racks in the order of their free capacity, the least first.
 	 * @param unit the unit
 	 * @param workers the workers
-	 * @return their racks
+	 * @return the workers of each rack
 	 */
 	List<List<Worker>> racks(WorkUnit unit, List<Worker> workers) {
 		Map<String, List<Worker>> racks = byRack(workers);
@@ -88,11 +97,11 @@
 	}
 
 	/**
-	 * Whether a unit is placed in one rack or not at all.
+	 * Whether a unit may only be placed in one rack.
 	 * @param unit the unit
-	 * @param workers those that may run it
-	 * @return whether it runs fast only there, and some rack would hold it if nothing
-	 * else ran in it
+	 * @param workers the workers that may run it
+	 * @return whether it runs fast only in one rack, and some rack would hold it if
+	 * nothing else ran there
 	 */
 	boolean requiresOneRack(WorkUnit unit, List<Worker> workers) {
 		return this.policy.has(SchedulerFeature.GANG_IN_ONE_RACK) && unit.prefersOneRack()
@@ -112,7 +121,7 @@
 		return racks;
 	}
 
-	// Most of what waits does not fit, and is found out without putting workers in order.
+	// Most waiting units do not fit, which is determined without sorting the workers.
 	private Optional<Map<TaskState, Worker>> fill(WorkUnit unit, List<Worker> workers, TentativeCapacity capacity) {
 		if (!capacity.canPlaceAll(workers, unit)) {
 			return Optional.empty();
@@ -128,11 +137,11 @@
 	}
 
 	/**
-	 * Fills one worker after the other.
-	 * @param unit what is to be placed
+	 * Fills the workers one after the other.
+	 * @param unit the unit to place
 	 * @param order the workers in the order in which they are filled
-	 * @param capacity the room that is there; taken as far as the unit goes
-	 * @return the worker of each task, or empty where not all fit
+	 * @param capacity the available capacity; allocated as far as the tasks fit
+	 * @return the worker of each task, or empty if not all tasks fit
 	 */
 	static Optional<Map<TaskState, Worker>> fillInOrder(WorkUnit unit, List<Worker> order, TentativeCapacity capacity) {
 		Map<TaskState, Worker> placement = new LinkedHashMap<>();
@@ -171,7 +180,8 @@
 		return (best != null) ? Optional.of(Map.of(unit.tasks().get(0), best)) : Optional.empty();
 	}
 
-	// What a unit may take down with a worker; nothing unless it is a suspect.
+	// Returns the work that a unit may lose by crashing a worker; 0 unless it is a
+	// suspect.
 	private ToDoubleFunction<Worker> crashLoss(WorkUnit unit) {
 		if (!unit.isolation().isSuspect()) {
 			return (worker) -> 0;
@@ -181,9 +191,9 @@
 	}
 
 	/**
-	 * What is lost with runs at a moment.
+	 * Creates an estimator of the work that is lost with runs.
 	 * @param now the steady clock
-	 * @return the losses, made for one search
+	 * @return the estimator, for use in one search
 	 */
 	WorkLossEstimator lossEstimator(long now) {
 		return new WorkLossEstimator(now, this.policy.checkpointing().restoreMillis());
@@ -206,11 +216,11 @@
 	}
 
 	/**
-	 * A rack with what speaks for it.
+	 * A rack with its ranking criteria.
 	 *
 	 * @param workers its workers
-	 * @param nearData whether the unit's data lie there
-	 * @param freeWorkers the room of its workers that is free, in whole workers
+	 * @param nearData whether the unit's data are in this rack
+	 * @param freeWorkers the free capacity, in whole workers
 	 */
 	private record RackChoice(List<Worker> workers, boolean nearData, double freeWorkers) {
 
@@ -221,13 +231,13 @@
 	}
 
 	/**
-	 * A worker with what speaks for it.
+	 * A worker with its ranking criteria.
 	 *
 	 * @param worker the worker
-	 * @param crashLoss what a suspect may take down there, in core-seconds; 0 for all
+	 * @param crashLoss the work that a suspect may lose there, in core-seconds; 0 for all
 	 * other units
-	 * @param failedJobs what speaks against it
-	 * @param fitCost the room that is left there
+	 * @param failedJobs the number of jobs that failed there without a success in between
+	 * @param fitCost the capacity that stays free there
 	 */
 	private record WorkerChoice(Worker worker, double crashLoss, int failedJobs, double fitCost) {
 
--- a/core/src/main/java/org/almondmount/workflow/impl/PreemptionPlanner.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/PreemptionPlanner.java
@@ -16,12 +16,12 @@
 import org.almondmount.workflow.ResourceAmount;
 
 /**
- * Chooses what has to give way to a unit that finds no room. Stateless.
+ * Chooses the runs that are preempted for a unit that does not fit. Stateless.
  * <p>
- * It answers bursts of urgent jobs that find the fleet full of work that has time. Of all
- * racks and workers that could hold the unit, those are chosen where the least work is
- * thrown away, as {@link RunWorkSummary#lossIfStopped} tells, and no run is stopped whose
- * room is not needed in the end.
+ * Preemption handles bursts of urgent jobs that arrive while the fleet is full of work
+ * that is not urgent. Among all racks and workers that could hold the unit, it selects
+ * those where the least work is lost according to {@link RunWorkSummary#lossIfStopped},
+ * and it stops no run whose capacity turns out not to be needed.
  */
 final class PreemptionPlanner {
 
@@ -32,13 +32,14 @@
 	}
 
 	/**
-	 * Chooses a placement and what gives way to it.
+	 * Chooses a placement and the runs that are preempted for it.
 	 * @param now the steady clock
 	 * @param unit the unit
-	 * @param workers those that may run it
-	 * @param capacities makes the room that is there for the unit; called for each try
+	 * @param workers the workers that may run it
+	 * @param capacities supplies the capacity available to the unit; called for each
+	 * attempt
 	 * @param preemptible the runs that may be stopped
-	 * @return the cheapest plan, or empty where even that would not make room
+	 * @return the cheapest plan, or empty if the unit would not fit even then
 	 */
 	Optional<Plan> plan(long now, WorkUnit unit, List<Worker> workers, Supplier<TentativeCapacity> capacities,
 			Predicate<Run> preemptible) {
@@ -64,13 +65,15 @@
 	}
 
 	/**
-	 * Chooses a placement over all of the workers, in whatever racks, and what gives way.
+	 * Chooses a placement over all given workers, regardless of racks, and the runs that
+	 * are preempted for it.
 	 * @param now the steady clock
 	 * @param unit the unit
-	 * @param workers those that it may take
-	 * @param capacities makes the room that is there for the unit; called for each try
+	 * @param workers the workers that it may use
+	 * @param capacities supplies the capacity available to the unit; called for each
+	 * attempt
 	 * @param preemptible the runs that may be stopped
-	 * @return the plan, or empty where even that would not make room
+	 * @return the plan, or empty if the unit would not fit even then
 	 */
 	Optional<Plan> planWithin(long now, WorkUnit unit, List<Worker> workers, Supplier<TentativeCapacity> capacities,
 			Predicate<Run> preemptible) {
@@ -99,22 +102,22 @@
 	}
 
 	/**
-	 * Where the unit goes and what has to end first.
+	 * The placement of a unit and the runs that have to end first.
 	 *
 	 * @param placement the worker of each task
-	 * @param victims runs that give way
-	 * @param cost what is thrown away, in core-seconds
+	 * @param victims the runs to preempt
+	 * @param cost the work that is lost, in core-seconds
 	 */
 	record Plan(Map<TaskState, Worker> placement, Set<Run> victims, double cost) {
 	}
 
 	/**
-	 * One search for what gives way.
+	 * A search for the runs to preempt.
 	 *
-	 * @param unit what is to be placed
-	 * @param free the room that is there for it
+	 * @param unit the unit to place
+	 * @param free the capacity available to it
 	 * @param candidates the runs that may be stopped
-	 * @param lossEstimator what is lost with each
+	 * @param lossEstimator estimates the work that is lost with each run
 	 */
 	private record VictimSearch(WorkUnit unit, TentativeCapacity free, Set<Run> candidates,
 			WorkLossEstimator lossEstimator) {
@@ -136,8 +139,8 @@
 			return victims;
 		}
 
-		// What one task of the unit costs on a worker that is filled with as many as go
-		// there.
+		// Returns the cost per task if the worker is filled with as many tasks of the
+		// unit as fit.
 		private double costPerTask(Worker worker) {
 			ResourceAmount available = this.free.available(worker);
 			for (Run run : worker.runs()) {
@@ -155,9 +158,9 @@
 			return cost / tasks;
 		}
 
-		// Cheap runs first; then whatever turned out not to be needed is spared, the
-		// dearest first: a large run that gives way at last often makes room for all the
-		// small ones.
+		// Chooses cheap runs first, then drops the runs that turned out not to be needed,
+		// the most expensive first: a large run that is chosen last often frees enough
+		// capacity to keep all the small ones.
 		private List<Run> victimsOn(Worker worker, ResourceAmount required, Set<Run> alreadyChosen) {
 			ResourceAmount available = this.free.available(worker);
 			List<Run> cheapestFirst = new ArrayList<>();
--- a/core/src/main/java/org/almondmount/workflow/impl/Reservation.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Reservation.java
@@ -7,16 +7,16 @@
 import java.util.Optional;
 
 /**
- * Room that is kept for a unit which does not fit yet. Immutable.
+ * Capacity that is reserved for a unit which does not fit yet. Immutable.
  * <p>
- * Small units fit nearly always and would take each accelerator that becomes free; a gang
- * that needs a rack would wait for ever. So the first units in the order that do not fit
- * have the place where they fit earliest kept for them, and only what ends before that
- * time may be placed there meanwhile.
+ * Small units fit nearly always and would take each accelerator as it becomes free, so a
+ * gang that needs a whole rack would wait forever. The first units in the placement order
+ * that do not fit therefore reserve the place where they fit earliest, and until then
+ * only work that ends before that time may be placed there.
  *
  * @param unit the unit
- * @param placement where it will go
- * @param delayMillis in how many milliseconds it will fit there
+ * @param placement the reserved worker of each task
+ * @param delayMillis the time until the unit fits, in milliseconds
  */
 record Reservation(WorkUnit unit, Map<TaskState, Worker> placement, long delayMillis) {
 
@@ -24,8 +24,8 @@
 	 * Finds the place where a unit fits earliest.
 	 * @param now the steady clock
 	 * @param unit the unit
-	 * @param choices sets of workers, such as racks, of which one is to hold it
-	 * @return the reservation, or empty where no choice would hold it even if empty
+	 * @param choices sets of workers, such as racks, one of which has to hold the unit
+	 * @return the reservation, or empty if no choice would hold the unit even if empty
 	 */
 	static Optional<Reservation> earliest(long now, WorkUnit unit, List<List<Worker>> choices) {
 		Reservation best = null;
@@ -54,8 +54,8 @@
 		return Optional.of(new Reservation(unit, placement, byEnd.get(endedCount - 1).delayMillis()));
 	}
 
-	// The more has ended the more room there is, so the first end after which the unit
-	// fits can be found by halving.
+	// Free capacity only grows with each run that ends, so the first end after which the
+	// unit fits can be found by binary search.
 	private static int minEndedRuns(WorkUnit unit, List<Worker> workers, List<RunEnd> byEnd) {
 		int low = 1;
 		int high = byEnd.size() + 1;
@@ -78,10 +78,10 @@
 	}
 
 	/**
-	 * A run and when it will probably be over.
+	 * A run with its estimated end.
 	 *
 	 * @param run the run
-	 * @param delayMillis in how many milliseconds
+	 * @param delayMillis the time until the estimated end, in milliseconds
 	 */
 	private record RunEnd(Run run, long delayMillis) {
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/Run.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Run.java
@@ -8,16 +8,16 @@
 import org.almondmount.workflow.WorkerLife;
 
 /**
- * One run of a task that may be at work. Mutable; owned by the scheduler.
+ * One run of a task that may be running on a worker. Mutable; owned by the scheduler.
  */
 final class Run {
 
 	private static final int MAX_PERCENT = 100;
 
-	/** Progress from which a speed is taken. */
+	/** Minimum progress from which a speed is calculated. */
 	private static final int MIN_PROGRESS_PERCENT = 5;
 
-	/** What a run takes of which nothing is known, in milliseconds. */
+	/** Run time that is assumed when there is no estimate, in milliseconds. */
 	private static final long DEFAULT_RUN_TIME_MILLIS = 10_000;
 
 	private static final long NOT_SET = Long.MIN_VALUE;
@@ -31,21 +31,22 @@
 	private Worker worker;
 
 	/**
-	 * The life of its worker in which it may have begun; its worker may be a later one.
+	 * The life of the worker in which the run may have started; {@link #worker} may be a
+	 * later life.
 	 */
 	private WorkerLife startLife;
 
 	private final long epoch;
 
-	/** Whether it goes on from a checkpoint. */
+	/** Whether the run resumes from a checkpoint. */
 	private final boolean resumedFromCheckpoint;
 
-	/** The capacity by which its worker was chosen. */
+	/** The capacity of the worker at the time of the placement. */
 	private final ResourceAmount placementCapacity;
 
 	private State state;
 
-	/** Whether its beginning was seen in this term. */
+	/** Whether the start of the run was observed in this term. */
 	private boolean startObserved;
 
 	private boolean stopping;
@@ -62,10 +63,13 @@
 
 	private int firstProgressPercent;
 
-	/** Since when it works: a member of a gang begins once all are there. */
+	/**
+	 * Start of the actual work: the members of a gang start working once all of them are
+	 * running.
+	 */
 	private long workStartedMillis = NOT_SET;
 
-	/** When its last checkpoint was heard of. */
+	/** Time at which the last checkpoint was reported. */
 	private long lastCheckpointMillis = NOT_SET;
 
 	private String lastCheckpoint;
@@ -87,10 +91,10 @@
 	}
 
 	/**
-	 * Takes over a run that an earlier term ordered.
+	 * Takes over a run that was started in an earlier term.
 	 * @param task the task
-	 * @param persisted what is kept of the run
-	 * @param worker the latest life of its worker that is known
+	 * @param persisted the persisted state of the run
+	 * @param worker the latest known life of its worker
 	 * @return the run
 	 */
 	static Run inherited(TaskState task, OpenRun persisted, Worker worker) {
@@ -119,8 +123,9 @@
 	}
 
 	/**
-	 * Its worker ended. A run that was ordered in this term and not heard of since was
-	 * hardly begun: its worker was gone already.
+	 * Records that the worker has ended. A run that was started in this term and has not
+	 * been reported since has most probably not begun, because its worker was gone
+	 * already.
 	 */
 	void markWorkerEnded() {
 		if (this.state == State.RUNNING || this.state == State.INHERITED) {
@@ -129,17 +134,18 @@
 	}
 
 	/**
-	 * The life with which it may have ended.
-	 * @return the life, or empty where it ended otherwise
+	 * Returns the life of the worker with which the run may have ended.
+	 * @return the life, or empty if the run ended otherwise
 	 */
 	Optional<WorkerLife> lostWorkerLife() {
 		return this.lostWorkerLife;
 	}
 
 	/**
-	 * Moves the run to a later life of its worker, where it may still begin. One that may
-	 * have begun before keeps the life that is over: a crash can be told by it.
-	 * @param later that life
+	 * Moves the run to a later life of its worker, in which it may still start. A run
+	 * that may have started before keeps its former life, so that a crash of that life
+	 * can be attributed to it.
+	 * @param later the later life
 	 */
 	void moveTo(Worker later) {
 		markWorkerEnded();
@@ -169,8 +175,8 @@
 	}
 
 	/**
-	 * From now on the run is to end; a second call changes nothing.
-	 * @param cause for what its work is lost
+	 * Marks the run as stopping; a second call has no effect.
+	 * @param cause the reason for the loss of its work
 	 */
 	void markStopping(WorkOutcome cause) {
 		this.stopping = true;
@@ -178,7 +184,7 @@
 	}
 
 	/**
-	 * Takes note of why its work is lost; the first reason counts.
+	 * Records the reason for the loss of its work; only the first reason counts.
 	 * @param cause the reason
 	 */
 	void recordLossCause(WorkOutcome cause) {
@@ -222,7 +228,7 @@
 	}
 
 	/**
-	 * All that has to be there for it to work is there.
+	 * Records that everything the run needs for its work is available.
 	 * @param now the steady clock
 	 */
 	void markWorking(long now) {
@@ -232,10 +238,10 @@
 	}
 
 	/**
-	 * Takes note of its checkpoint.
+	 * Records a checkpoint.
 	 * @param checkpoint the checkpoint, or empty
-	 * @param minMillis work that a checkpoint holds at least: the first one that is heard
-	 * of may hold any amount
+	 * @param minMillis the minimum amount of work in a checkpoint: the first reported
+	 * checkpoint may contain any amount
 	 */
 	void recordCheckpoint(String checkpoint, long minMillis) {
 		if (checkpoint.isEmpty() || checkpoint.equals(this.lastCheckpoint)) {
@@ -249,7 +255,7 @@
 	}
 
 	/**
-	 * For how long it held its room and could not work.
+	 * Returns how long the run held its allocation without being able to work.
 	 * @param now the steady clock
 	 * @return milliseconds
 	 */
@@ -261,10 +267,10 @@
 	}
 
 	/**
-	 * For how long it worked.
+	 * Returns how long the run has worked.
 	 * @param now the steady clock
-	 * @return milliseconds; of a run that an earlier term ordered at least what its
-	 * progress tells
+	 * @return milliseconds; for a run that was started in an earlier term at least the
+	 * time that corresponds to its progress
 	 */
 	long workedMillis(long now) {
 		if (this.workStartedMillis == NOT_SET) {
@@ -276,8 +282,8 @@
 	}
 
 	/**
-	 * How much of its work a checkpoint holds.
-	 * @param checkpoint its last checkpoint, or empty
+	 * Returns the amount of work that a checkpoint contains.
+	 * @param checkpoint the last checkpoint, or empty
 	 * @param now the steady clock
 	 * @return milliseconds
 	 */
@@ -292,25 +298,26 @@
 	}
 
 	/**
-	 * For how long it was seen without any progress.
-	 * @return milliseconds between the reports of the same percentage
+	 * Returns how long the run has reported no progress.
+	 * @return milliseconds between the first and the last report of the current
+	 * percentage
 	 */
 	long stalledMillis() {
 		return this.lastReportMillis - this.lastProgressMillis;
 	}
 
 	/**
-	 * Whether its own work is done, though it has not ended.
-	 * @return whether it is
+	 * Whether the run has completed its own work, even if it has not ended yet.
+	 * @return whether its progress is complete
 	 */
 	boolean isProgressComplete() {
 		return this.progressPercent >= MAX_PERCENT;
 	}
 
 	/**
-	 * The time that is left: at the speed since it was first seen, or, where too little
-	 * was seen, as much of the expected time as its progress leaves. A percent is the
-	 * finest step that workers tell, so that a speed from a few of them is off by half.
+	 * Estimates the remaining run time from the speed since the first report or, if there
+	 * has been too little progress, from the expected run time. Workers report whole
+	 * percents only, so a speed calculated from a few of them may be wrong by half.
 	 * @param now the steady clock
 	 * @return milliseconds
 	 */
@@ -325,8 +332,8 @@
 	}
 
 	/**
-	 * Whether the time since it was first seen is that of the whole task.
-	 * @return whether it is
+	 * Whether the time since the first report covers the whole task.
+	 * @return whether the start was observed and the run did not resume from a checkpoint
 	 */
 	boolean isObservedFromStart() {
 		return this.startObserved && !this.resumedFromCheckpoint;
@@ -349,20 +356,22 @@
 	}
 
 	/**
-	 * How much is known of a run.
+	 * The known state of a run.
 	 */
 	enum State {
 
-		/** Its order waits until the run is kept. */
+		/** The start command is held back until the run is persisted. */
 		PERSISTING,
 
-		/** Its order was sent and nothing was heard of it yet. */
+		/**
+		 * The start command has been sent, and the worker has not reported the run yet.
+		 */
 		START_SENT,
 
-		/** An earlier term ordered it; whether it was begun is not known. */
+		/** The run belongs to an earlier term; whether it has started is not known. */
 		INHERITED,
 
-		/** Its worker said that it runs. */
+		/** The worker has reported the run as running. */
 		RUNNING
 
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
@@ -15,12 +15,12 @@
 import org.almondmount.workflow.WorkflowCommand;
 
 /**
- * Opens and closes runs, and draws what follows for their tasks and jobs. Owned by the
- * scheduler.
+ * Opens and closes runs, and applies the consequences to their tasks and jobs. Owned by
+ * the scheduler.
  */
 final class RunLifecycle {
 
-	/** Pause before a task that failed is tried again, in milliseconds. */
+	/** Delay before a failed task is retried, in milliseconds. */
 	private static final long RETRY_DELAY_MILLIS = 100;
 
 	private final SchedulerState state;
@@ -30,7 +30,8 @@
 	}
 
 	/**
-	 * Opens a run for each task of a unit; the orders leave once the runs are kept.
+	 * Opens a run for each task of a unit; the start commands are sent once the runs are
+	 * persisted.
 	 * @param unit the unit
 	 * @param placement the worker of each task
 	 */
@@ -67,7 +68,7 @@
 	}
 
 	/**
-	 * Closes a run that is surely over.
+	 * Closes a run that has certainly ended.
 	 * @param run the run
 	 * @param ending how it ended
 	 * @param checkpoint its last checkpoint, or empty
@@ -104,9 +105,10 @@
 	}
 
 	/**
-	 * Closes a run that is surely over, though its worker did not list its end.
+	 * Closes a run that has certainly ended, although its worker did not report the end.
 	 * @param run the run
-	 * @param cause for what its work is lost, unless a reason is known already
+	 * @param cause the reason for the loss of its work, unless a reason is already
+	 * recorded
 	 */
 	void closeLost(Run run, WorkOutcome cause) {
 		run.recordLossCause(cause);
@@ -115,9 +117,9 @@
 	}
 
 	/**
-	 * Orders a run to end.
+	 * Stops a run.
 	 * @param run the run
-	 * @param cause for what its work is lost
+	 * @param cause the reason for the loss of its work
 	 */
 	void stop(Run run, WorkOutcome cause) {
 		if (run.stopping()) {
@@ -130,11 +132,12 @@
 	}
 
 	/**
-	 * Orders the obsolete runs of a job to end: all open ones where the job was cancelled
-	 * or has failed, and the members of a gang that is not whole. What was kept says that
-	 * nobody wants them, not that they heard of it: the orders of an earlier term may
-	 * never have arrived. Where a member of a gang is done, so are the others.
-	 * @param job a job that an earlier term left
+	 * Stops the obsolete runs of a job: all open runs if the job was cancelled or has
+	 * failed, and the members of incomplete gangs. The persisted state shows that these
+	 * runs are no longer wanted, but not that their workers know it: the stop commands of
+	 * an earlier term may never have arrived. If one member of a gang is done, all
+	 * members are done.
+	 * @param job a job of an earlier term
 	 */
 	void stopObsolete(JobState job) {
 		if (job.phase() == JobPhase.COMPLETED) {
@@ -153,7 +156,7 @@
 	}
 
 	/**
-	 * Sends the order to end a run, for the first time or again.
+	 * Sends or resends the stop command of a run.
 	 * @param run the run
 	 */
 	void sendStop(Run run) {
@@ -163,7 +166,7 @@
 	}
 
 	/**
-	 * Sends the order to begin a run, for the first time or again.
+	 * Sends or resends the start command of a run.
 	 * @param run the run
 	 */
 	void sendStart(Run run) {
@@ -174,10 +177,10 @@
 				run.number(), step.job().workflow().program(), checkpoint, run.placementCapacity()));
 	}
 
-	// Between choice and order the run was being kept, and the worker's zone may have
-	// been taken out, or the worker have said that it leaves or has less room. Nothing
-	// was sent yet, so the runs can be closed as never begun. A gang is ordered whole or
-	// not at all.
+	// While the runs were being persisted, the zone of a worker may have been taken out,
+	// or the worker may have started to drain or have reported less capacity. Nothing has
+	// been sent yet, so the runs can be closed as never started. Either all members of a
+	// gang are started or none.
 	private void startOrClose(StepState step, List<Run> runs) {
 		boolean startable = !step.job().over();
 		for (Run run : runs) {
@@ -198,7 +201,7 @@
 	}
 
 	/**
-	 * Counts a crash against a task that was at work on the worker, once for each run.
+	 * Counts a crash against a task that was running on the worker, once for each run.
 	 * @param task the task
 	 * @param crash the crash
 	 */
@@ -231,7 +234,7 @@
 	}
 
 	/**
-	 * Fails the jobs whose attempts are used up by what their queues say now.
+	 * Fails the jobs that have used up the attempts that their queues currently allow.
 	 */
 	void failExhaustedJobs() {
 		for (JobState job : this.state.jobs().values()) {
@@ -241,7 +244,7 @@
 		}
 	}
 
-	// A run that is open was begun in time and may still succeed.
+	// An open run started while attempts were left and may still succeed.
 	private void failIfExhausted(TaskState task) {
 		if (task.failures() > 0 && task.idle() && !task.done()) {
 			failIfExhausted(task.step().job(), task, task.failures());
@@ -285,8 +288,8 @@
 		failIfExhausted(job, run.task(), failures);
 	}
 
-	// A new holder may hear of a failure before it has read the queue that says how many
-	// attempts there are. The job is judged once the queue is known.
+	// A new holder may receive the report of a failure before it has read the queue that
+	// sets the number of attempts. The job is checked once the queue is known.
 	private void failIfExhausted(JobState job, TaskState task, int failures) {
 		Optional<JobQueue> queue = this.state.queueOf(job);
 		if (job.over() || queue.isEmpty() || failures < queue.get().maxAttempts()) {
@@ -304,8 +307,8 @@
 		job.openRuns().forEach((open) -> stop(open, WorkOutcome.JOB_FAILED));
 	}
 
-	// The worker ends the other members by itself, but one whose start is still on its
-	// way would wait for them until the gang's time runs out.
+	// The worker ends the other members by itself, but a member whose start command is
+	// still in transit would wait for them until the gang timeout.
 	private void stopAll(StepState step, WorkOutcome cause) {
 		for (TaskState task : step.tasks()) {
 			List.copyOf(task.openRuns()).forEach((run) -> stop(run, cause));
--- a/core/src/main/java/org/almondmount/workflow/impl/RunTimeEstimator.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunTimeEstimator.java
@@ -4,35 +4,36 @@
 import java.util.Map;
 
 /**
- * Learns how long tasks run from the guesses that came with them. Mutable; owned by the
- * scheduler, and void at the end of its term.
+ * Learns how run times relate to callers' estimates. Mutable; owned by the scheduler, and
+ * reset at the end of its term.
  * <p>
- * Callers' guesses are good in one queue and off by ten times in another, where a task of
- * the queue's usual length is a better guess than any that a caller makes. So the run
- * time is fitted to the guess for each queue, on a logarithmic scale, as a straight line
- * that begins as "the guess is right" and follows what is seen.
+ * Callers' estimates are accurate in one queue and wrong by a factor of ten in another,
+ * where the usual run time of the queue is a better estimate than any caller's. For each
+ * queue, the run time is therefore fitted to the estimate by linear regression on a
+ * logarithmic scale. The initial line takes estimates as correct, and it then follows the
+ * observed run times.
  */
 final class RunTimeEstimator {
 
 	/**
-	 * How many tasks it takes until what was seen counts as much as the beginning: about
-	 * as many as run in the first seconds of a term.
+	 * Number of tasks after which the observations weigh as much as the prior: about as
+	 * many as run in the first seconds of a term.
 	 */
 	private static final double PRIOR_WEIGHT = 4;
 
-	/** Spread of guesses that is taken for granted at the beginning: a factor of e. */
+	/** Spread of the estimates that the prior assumes: a factor of e. */
 	private static final double PRIOR_SPREAD = 1;
 
-	/** An earlier task counts this much of one that has just ended. */
+	/** Weight of an observation relative to the next one. */
 	private static final double DECAY_FACTOR = 0.98;
 
 	private final Map<String, WeightedLinearFit> fitsByQueue = new HashMap<>();
 
 	/**
-	 * Takes note of a task that ran from its beginning to its end.
+	 * Records a task that ran from its beginning to its end.
 	 * @param queue its queue
-	 * @param estimateMillis the guess that came with it
-	 * @param millis how long it ran
+	 * @param estimateMillis the caller's estimate
+	 * @param millis the actual run time
 	 */
 	void addSample(String queue, long estimateMillis, long millis) {
 		if (estimateMillis > 0 && millis > 0) {
@@ -42,10 +43,10 @@
 	}
 
 	/**
-	 * How long a task will probably run.
+	 * Estimates the run time of a task.
 	 * @param queue its queue
-	 * @param estimateMillis the guess that came with it, 0 for none
-	 * @return milliseconds, 0 where nothing is known
+	 * @param estimateMillis the caller's estimate, 0 for none
+	 * @return milliseconds, 0 if nothing is known
 	 */
 	long expected(String queue, long estimateMillis) {
 		WeightedLinearFit fit = this.fitsByQueue.get(queue);
@@ -60,7 +61,7 @@
 	}
 
 	/**
-	 * A line through weighted points, with the diagonal as its prior.
+	 * A linear regression over weighted points, with the diagonal as its prior.
 	 */
 	private static final class WeightedLinearFit {
 
@@ -82,9 +83,8 @@
 			this.sumXy = this.sumXy * DECAY_FACTOR + x * y;
 		}
 
-		// The prior is a set of points on the diagonal around the centre of the guesses,
-		// so
-		// that a queue with alike guesses does not tilt the line.
+		// The prior is a set of points on the diagonal around the mean of the estimates,
+		// so that a queue with similar estimates does not tilt the line.
 		double predict(double x) {
 			double meanX = this.sumX / this.weight;
 			double meanY = (this.sumY + PRIOR_WEIGHT * meanX) / (this.weight + PRIOR_WEIGHT);
--- a/core/src/main/java/org/almondmount/workflow/impl/RunWorkSummary.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunWorkSummary.java
@@ -5,26 +5,28 @@
 import org.almondmount.workflow.WorkOutcome;
 
 /**
- * How much of a run's work is kept and how much is lost, by what its worker told of it.
- * Immutable.
+ * The kept and the lost work of a run, according to the reports of its worker. Immutable.
  * <p>
- * Times are those at which the holder heard, so each figure may be off by the time
- * between two reports. Of a run that was never heard of nothing is counted.
+ * Times are those at which the holder received the reports, so each figure may be wrong
+ * by the interval between two reports. A run that was never reported counts as no work.
  *
- * @param keptCoreSeconds work that is done or saved
- * @param lostCoreSeconds work that has to be done again, or is of no use to anybody
- * @param waitedCoreSeconds room held by a member of a gang that was not yet whole
- * @param cause why work was lost; {@link WorkOutcome#KEPT} where it was not
+ * @param keptCoreSeconds work that is done or checkpointed
+ * @param lostCoreSeconds work that has to be repeated, or is of no use to anybody
+ * @param waitedCoreSeconds capacity held by a gang member while its gang was incomplete
+ * @param cause the reason for the loss of work; {@link WorkOutcome#KEPT} if none was lost
  */
 record RunWorkSummary(double keptCoreSeconds, double lostCoreSeconds, double waitedCoreSeconds, WorkOutcome cause) {
 
 	private static final double MILLIS_PER_SECOND = 1_000.0;
 
-	/** Two orders and their way, in milliseconds; room is held meanwhile. */
+	/**
+	 * Time to deliver a stop and a start command, in milliseconds; capacity is held
+	 * meanwhile.
+	 */
 	private static final long STOP_START_MILLIS = 200;
 
 	/**
-	 * Accounts for a run that is over.
+	 * Summarizes the work of a run that has ended.
 	 * @param run the run, still open
 	 * @param ending how it ended
 	 * @param checkpoint its last checkpoint, or empty
@@ -47,12 +49,12 @@
 	}
 
 	/**
-	 * How much work would be lost if a run was stopped now. A task that saves its
-	 * progress does so when it is stopped, and loses the time that it takes to go on from
-	 * there.
+	 * Estimates the work that would be lost if a run was stopped now. A task that saves
+	 * its progress does so when it is stopped, and loses only the time that it takes to
+	 * resume.
 	 * @param run the run
 	 * @param now the steady clock
-	 * @param restoreMillis how long a task takes to go on from a checkpoint
+	 * @param restoreMillis the time that a task takes to resume from a checkpoint
 	 * @return core-seconds
 	 */
 	static double lossIfStopped(Run run, long now, long restoreMillis) {
@@ -71,8 +73,8 @@
 		};
 	}
 
-	// The members that live are often heard before the one that ended: its worker is
-	// leaving, or silent since.
+	// The surviving members often report before the member that ended: its worker is
+	// draining or has gone silent.
 	private static WorkOutcome causeOfBrokenGang(Run run, long now) {
 		for (TaskState task : run.task().step().tasks()) {
 			for (Run member : task.openRuns()) {
--- a/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
@@ -16,7 +16,7 @@
 import org.almondmount.workflow.WorkflowScheduler.Instant;
 
 /**
- * What the parts of the scheduler share. Mutable; owned by the scheduler.
+ * The state that the components of the scheduler share. Mutable; owned by the scheduler.
  */
 final class SchedulerState {
 
@@ -59,7 +59,7 @@
 	}
 
 	/**
-	 * The workers by the target beside them; only the current life of each.
+	 * Returns the workers by the name of their target, each with its current life only.
 	 * @return the workers
 	 */
 	Map<String, Worker> workers() {
@@ -101,8 +101,8 @@
 	}
 
 	/**
-	 * The epoch of this process's term.
-	 * @return the epoch, 0 while it may not decide
+	 * Returns the epoch of this process's term.
+	 * @return the epoch, 0 if this process is not the holder
 	 */
 	long epoch() {
 		return this.epoch;
@@ -115,7 +115,7 @@
 	}
 
 	/**
-	 * How long this process has decided.
+	 * Returns how long this process has held the term.
 	 * @return milliseconds since its term began
 	 */
 	long termAgeMillis() {
@@ -161,10 +161,10 @@
 	}
 
 	/**
-	 * Whether a worker may be given something new now.
+	 * Whether new runs may be started on a worker now.
 	 * @param worker the worker
-	 * @return whether it is known, heard of lately, in a zone that is in service and not
-	 * leaving
+	 * @return whether it is known and holds its lease, obeys this term's epoch, was heard
+	 * from recently, is in a zone that is in service, is not draining and is not paused
 	 */
 	boolean canStartOn(Worker worker) {
 		return worker.description().isPresent() && !worker.lapsed() && !worker.draining()
--- a/core/src/main/java/org/almondmount/workflow/impl/StepState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/StepState.java
@@ -29,7 +29,10 @@
 
 	private boolean done;
 
-	/** The last run of a gang whose failure is counted; its other members add nothing. */
+	/**
+	 * The last run of a gang whose failure was counted; failures of other members of that
+	 * run are not counted again.
+	 */
 	private int failedRun;
 
 	private long notBeforeMillis = Long.MIN_VALUE;
@@ -72,7 +75,7 @@
 		return this.done;
 	}
 
-	// The end of any member of a gang stands for all of them.
+	// If one member of a gang is done, all members are done.
 	void markTaskDone(TaskState task) {
 		task.markDone();
 		if (this.spec.gang()) {
@@ -87,10 +90,10 @@
 	}
 
 	/**
-	 * Counts a failure: of the task, or once for a run of the whole gang.
+	 * Counts a failure: for the task, or once for a run of the whole gang.
 	 * @param task the task
 	 * @param run the run that failed
-	 * @return the failures that count
+	 * @return the number of counted failures
 	 */
 	int countFailure(TaskState task, int run) {
 		if (!this.spec.gang()) {
@@ -106,9 +109,9 @@
 	}
 
 	/**
-	 * Where the failures of a task are counted.
+	 * Returns the task on which the failures of a task are counted.
 	 * @param task the task
-	 * @return the task itself, or the first one of its gang
+	 * @return the task itself, or the first task of its gang
 	 */
 	TaskState failureCountOwner(TaskState task) {
 		return this.spec.gang() ? this.tasks.get(0) : task;
@@ -123,8 +126,9 @@
 	}
 
 	/**
-	 * The last run of any of its tasks; the members of a gang share their numbers.
-	 * @return the number, 0 where nothing was run
+	 * Returns the last run of any of its tasks; the members of a gang share their run
+	 * numbers.
+	 * @return the number, 0 if no task has run
 	 */
 	int lastRun() {
 		int last = 0;
@@ -135,8 +139,8 @@
 	}
 
 	/**
-	 * Whether each member of a gang has its part in the gang's last run.
-	 * @return whether none has ended
+	 * Whether each member of a gang has an open run in the gang's last run.
+	 * @return whether no member has ended
 	 */
 	boolean isGangComplete() {
 		int run = lastRun();
@@ -144,7 +148,8 @@
 	}
 
 	/**
-	 * The checkpoint from which a gang goes on: the one of any member is good for all.
+	 * Returns the checkpoint from which a gang resumes; the checkpoint of any member is
+	 * valid for all.
 	 * @return the checkpoint, or empty
 	 */
 	String gangCheckpoint() {
@@ -158,16 +163,15 @@
 	}
 
 	/**
-	 * How long one of its tasks will probably run.
-	 * @return milliseconds, 0 where nothing is known
+	 * Returns the expected run time of one of its tasks.
+	 * @return milliseconds, 0 if nothing is known
 	 */
 	long expectedMillis() {
 		return this.expectedMillis;
 	}
 
 	/**
-	 * How long the longest chain of work will probably take from the beginning of this
-	 * step.
+	 * Returns the estimated length of the critical path from the beginning of this step.
 	 * @return milliseconds
 	 */
 	long criticalPathMillis() {
@@ -175,15 +179,16 @@
 	}
 
 	/**
-	 * Takes note of a task that ran from its beginning to its end.
-	 * @param millis how long it ran
+	 * Records a task that ran from its beginning to its end.
+	 * @param millis its run time
 	 */
 	void recordRunTime(long millis) {
 		this.totalRunMillis += millis;
 		this.observedRunCount++;
 	}
 
-	// Tasks of one step are alike, so one that has ended tells more than any guess.
+	// Tasks of one step are alike, so the run time of an ended task is more accurate than
+	// any estimate.
 	void updateEstimate(RunTimeEstimator estimator, long followerPathMillis) {
 		this.expectedMillis = (this.observedRunCount > 0) ? this.totalRunMillis / this.observedRunCount
 				: estimator.expected(this.job.workflow().queue(), this.spec.estimateMillis());
@@ -191,8 +196,8 @@
 	}
 
 	/**
-	 * How many of its tasks are not done.
-	 * @return a count
+	 * Returns the number of tasks that are not done.
+	 * @return the number of tasks
 	 */
 	long unfinishedTaskCount() {
 		return this.tasks.stream().filter((task) -> !task.done()).count();
--- a/core/src/main/java/org/almondmount/workflow/impl/TaskState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/TaskState.java
@@ -8,7 +8,7 @@
 import org.almondmount.workflow.TaskId;
 
 /**
- * One task. Mutable; owned by the scheduler.
+ * The state of a task. Mutable; owned by the scheduler.
  */
 final class TaskState {
 
@@ -97,8 +97,8 @@
 	}
 
 	/**
-	 * The workers that crashed under it.
-	 * @return them
+	 * Returns the worker crashes during runs of this task.
+	 * @return the crash history
 	 */
 	CrashHistory crashes() {
 		return this.crashes;
--- a/core/src/main/java/org/almondmount/workflow/impl/TentativeCapacity.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/TentativeCapacity.java
@@ -9,7 +9,7 @@
 import org.almondmount.workflow.Step;
 
 /**
- * Room on workers as it would be, while a placement is tried. Mutable; made for one try.
+ * Free capacity of workers while a placement is tried. Mutable; created for one attempt.
  */
 final class TentativeCapacity {
 
@@ -24,16 +24,16 @@
 	}
 
 	/**
-	 * The room that no run takes now.
-	 * @return the room
+	 * Starts with the capacity that is not allocated to any run now.
+	 * @return the capacity
 	 */
 	static TentativeCapacity available() {
 		return new TentativeCapacity(Worker::free);
 	}
 
 	/**
-	 * The room that there would be if nothing ran.
-	 * @return the room
+	 * Starts with the capacity that would be free if nothing ran.
+	 * @return the capacity
 	 */
 	static TentativeCapacity ofIdleWorkers() {
 		return new TentativeCapacity(Worker::capacity);
@@ -53,10 +53,11 @@
 	}
 
 	/**
-	 * Whether a worker takes one more task of a unit.
+	 * Whether one more task of a unit can be placed on a worker.
 	 * @param worker the worker
 	 * @param unit the unit
-	 * @return whether the task fits and the bound of tasks on one worker holds
+	 * @return whether the task fits, stays within the maximum number of tasks per worker,
+	 * and is not kept apart from the work there
 	 */
 	boolean canPlace(Worker worker, WorkUnit unit) {
 		return unit.allocation().fitsIn(available(worker)) && !violatesAntiAffinity(worker, unit)
@@ -64,11 +65,11 @@
 	}
 
 	/**
-	 * Whether workers together take all tasks of a unit, in whatever order they are
-	 * filled: its tasks are alike.
+	 * Whether all tasks of a unit can be placed on the given workers. The order in which
+	 * the workers are filled does not matter, since the tasks of a unit are alike.
 	 * @param workers the workers
 	 * @param unit the unit
-	 * @return whether they do
+	 * @return whether all tasks fit
 	 */
 	boolean canPlaceAll(List<Worker> workers, WorkUnit unit) {
 		long remaining = unit.tasks().size();
@@ -88,7 +89,7 @@
 		this.placedTaskCounts.merge(worker, 1, Integer::sum);
 	}
 
-	// How many more the bound of tasks on one worker leaves.
+	// Returns how many more tasks the limit of tasks per worker allows.
 	private long remainingTaskLimit(Worker worker, WorkUnit unit) {
 		int maxPerWorker = unit.step().spec().placement().mostPerWorker();
 		if (maxPerWorker == 0) {
@@ -97,7 +98,8 @@
 		return maxPerWorker - openRunCount(worker, unit) - this.placedTaskCounts.getOrDefault(worker, 0);
 	}
 
-	// A guarantee has a bound of its own and does not wait for a suspect to prove itself.
+	// Guaranteed work has a time limit of its own and does not wait for the probation of
+	// a suspect to end.
 	private static boolean isCrashRisk(Worker worker, WorkUnit unit) {
 		return unit.isolation().forbids(worker, unit.step())
 				|| (!unit.guaranteed() && worker.endangersOtherSteps(unit.step()));
--- a/core/src/main/java/org/almondmount/workflow/impl/Timeliness.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Timeliness.java
@@ -1,23 +1,24 @@
 package org.almondmount.workflow.impl;
 
 /**
- * What placing a waiting step now can still do for its caller. The order of the constants
- * is no rank; {@link #waitsBehindAll()} and {@link #earliestFirst()} tell how each waits.
+ * The benefit that placing a waiting step now still has for its caller. The order of the
+ * constants is not a ranking; {@link #waitsBehindAll()} and {@link #earliestFirst()}
+ * define how each is ordered.
  */
 enum Timeliness {
 
-	/** Its job can end within its objective. */
+	/** The job can end within its objective. */
 	IN_TIME(false, true),
 
-	/** Its job will end late, and still be of some use to its caller. */
+	/** The job will end late, but its result will still be useful to its caller. */
 	LATE(false, false),
 
-	/** Its job can only end when hardly anybody waits for it any more. */
+	/** The job can only end when hardly any caller still waits for its result. */
 	EXPIRED(true, true),
 
 	/**
-	 * It waited so long that it would starve behind what keeps coming. Treated like work
-	 * that can be in time, whose order puts the oldest first.
+	 * The job has waited so long that it would starve behind newer work. It is treated
+	 * like work that can be in time, whose order puts the oldest first.
 	 */
 	STARVED(false, true);
 
@@ -31,17 +32,18 @@
 	}
 
 	/**
-	 * Whether it is placed only after everything else, of any priority.
-	 * @return whether it is
+	 * Whether it is placed only after all other work, of any priority.
+	 * @return whether it is placed last
 	 */
 	boolean waitsBehindAll() {
 		return this.behindAll;
 	}
 
 	/**
-	 * Whether those that have to start earliest come first. Of jobs that are late anyway
-	 * the smallest come first: that way the most of them still end while they are of use.
-	 * @return whether they do
+	 * Whether units with the earliest latest start come first. Among jobs that are late
+	 * anyway the smallest come first, so that as many of them as possible end while their
+	 * results are useful.
+	 * @return whether the order is by latest start
 	 */
 	boolean earliestFirst() {
 		return this.earliestFirst;
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkLossEstimator.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkLossEstimator.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What is lost with a run, all members of its gang included. Mutable; made for one
- * search, in which each run is asked for many times.
+ * Estimates the work that is lost with a run, including all members of its gang. Mutable;
+ * created for one search, in which the same run is queried many times.
  */
 final class WorkLossEstimator {
 
@@ -16,9 +16,9 @@
 	private final Map<StepState, Double> lossByGang = new HashMap<>();
 
 	/**
-	 * Reckons with a moment.
+	 * Creates an estimator for one point in time.
 	 * @param now the steady clock
-	 * @param restoreMillis how long a task takes to go on from a checkpoint
+	 * @param restoreMillis the time that a task takes to resume from a checkpoint
 	 */
 	WorkLossEstimator(long now, long restoreMillis) {
 		this.now = now;
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * What would be lost if a run was stopped.
+	 * Estimates the loss if a run was stopped, including its gang.
 	 * @param run the run
 	 * @return core-seconds
 	 */
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * What would be lost with a run itself, whatever becomes of its gang.
+	 * Estimates the loss of a run itself, regardless of its gang.
 	 * @param run the run
 	 * @return core-seconds
 	 */
@@ -48,9 +48,9 @@
 	}
 
 	/**
-	 * What would be lost on a worker besides a step's own tasks if it crashed.
+	 * Estimates the loss of all other steps if a worker crashed.
 	 * @param worker the worker
-	 * @param step the step
+	 * @param step the step whose own tasks are not counted
 	 * @return core-seconds
 	 */
 	double lossOfOtherSteps(Worker worker, StepState step) {
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkUnit.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkUnit.java
@@ -6,16 +6,16 @@
 import org.almondmount.workflow.ResourceAmount;
 
 /**
- * What is placed at once: one task, or all tasks of a gang. Immutable, made anew for each
- * round of placing.
+ * The tasks that are placed together: one task, or all tasks of a gang. Immutable;
+ * created for each placement round.
  *
  * @param queue the queue of its job
  * @param step its step
  * @param tasks its tasks
- * @param workers those that may run it
- * @param deadline how its step stands against the job's objective
- * @param guaranteed whether it belongs to its customer's guarantee
- * @param isolation what company it may have
+ * @param workers the workers that may run it
+ * @param deadline whether its step can meet the job's objective
+ * @param guaranteed whether it is covered by its customer's guarantee
+ * @param isolation the isolation that it needs
  */
 record WorkUnit(JobQueue queue, StepState step, List<TaskState> tasks, List<Worker> workers, DeadlineEstimate deadline,
 		boolean guaranteed, IsolationLevel isolation) {
@@ -38,8 +38,8 @@
 	}
 
 	/**
-	 * Whether it runs fast only within one rack.
-	 * @return whether it does
+	 * Whether the unit runs fast only within one rack.
+	 * @return whether it is a gang that prefers one rack
 	 */
 	boolean prefersOneRack() {
 		return gang() && this.tasks.size() > 1 && this.step.spec().placement().sameRack();
--- a/core/src/main/java/org/almondmount/workflow/impl/Worker.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Worker.java
@@ -9,14 +9,14 @@
 import org.almondmount.workflow.WorkerLife;
 
 /**
- * One life of a worker, with the runs that may be at work there. Mutable; owned by the
+ * One life of a worker, with the runs that may be running there. Mutable; owned by the
  * scheduler.
  */
 final class Worker {
 
 	/**
-	 * A worker that was not heard of for so long is probably gone, in milliseconds: two
-	 * of its heartbeats are missing.
+	 * Silence after which a worker is probably gone, in milliseconds: two of its
+	 * heartbeats are missing.
 	 */
 	static final long SILENCE_LIMIT_MILLIS = 2_000;
 
@@ -26,7 +26,7 @@
 
 	private final Set<Run> runs = new LinkedHashSet<>();
 
-	/** Runs of suspects that are still young enough to crash it. */
+	/** Runs of suspects that are still young enough to crash the worker. */
 	private final Set<Run> probation = new LinkedHashSet<>();
 
 	private final WorkerHealth health = new WorkerHealth();
@@ -39,7 +39,10 @@
 
 	private ResourceAmount used = ResourceAmount.NONE;
 
-	/** Kept beside the two that it follows from: placing asks for it at each look. */
+	/**
+	 * Cached difference between {@link #capacity} and {@link #used}, because each
+	 * placement attempt reads it.
+	 */
 	private ResourceAmount free = ResourceAmount.NONE;
 
 	private long lastContactMillis;
@@ -48,7 +51,7 @@
 
 	private long lastSeenEnd;
 
-	/** The last end that is kept, so that the worker may forget it. */
+	/** The last end that is persisted, so that the worker may forget it. */
 	private long lastPersistedEnd;
 
 	private long epoch;
@@ -84,7 +87,7 @@
 	}
 
 	/**
-	 * Until when a worker that drains is surely there.
+	 * Returns the time until which a draining worker is certainly available.
 	 * @return a time of the steady clock
 	 */
 	long availableUntilMillis() {
@@ -129,7 +132,8 @@
 	}
 
 	/**
-	 * Nothing of another step is begun beside a run, as long as it is on probation.
+	 * Puts a run of a suspect on probation. While it lasts, no tasks of other steps are
+	 * started on this worker, except guaranteed ones.
 	 * @param run the run of a suspect
 	 */
 	void beginProbation(Run run) {
@@ -137,7 +141,8 @@
 	}
 
 	/**
-	 * A run of a suspect has outlived the age at which it might crash the worker.
+	 * Ends the probation of a run that has passed the age at which it might crash the
+	 * worker.
 	 * @param run the run
 	 */
 	void endProbation(Run run) {
@@ -145,9 +150,9 @@
 	}
 
 	/**
-	 * Whether a task of another step may crash it soon.
-	 * @param step the step
-	 * @return whether a suspect is on probation here
+	 * Whether a task of another step may soon crash this worker.
+	 * @param step the step to place
+	 * @return whether a suspect of another step is on probation here
 	 */
 	boolean endangersOtherSteps(StepState step) {
 		return !this.probation.isEmpty() && this.probation.stream().anyMatch((run) -> run.task().step() != step);
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkerHealth.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkerHealth.java
@@ -4,20 +4,25 @@
 import java.util.Set;
 
 /**
- * Whether a worker is to blame for what fails there. Mutable; owned by the scheduler.
+ * Tracks whether failures are the fault of a worker. Mutable; owned by the scheduler.
  * <p>
- * A worker that fails all it starts looks free and would draw one job after the other,
- * each losing one of its few attempts. Failures of two different jobs with no success in
- * between speak against the worker, those of a single job rather against the job: then
- * the worker gets nothing for a while, and after it one try decides.
+ * A worker that fails every run looks free and would attract one job after the other,
+ * each of which would lose one of its few attempts. Failures of two different jobs
+ * without a success in between indicate a faulty worker, whereas failures of a single job
+ * rather indicate a faulty job. A worker that looks faulty is paused for a while, and a
+ * single attempt after the pause decides whether it is paused again.
  */
 final class WorkerHealth {
 
-	/** Different jobs that have to fail in a row; one job alone may be bad itself. */
+	/**
+	 * Minimum number of different failed jobs in a row; a single job may be faulty
+	 * itself.
+	 */
 	private static final int MIN_FAILED_JOBS = 2;
 
 	/**
-	 * First pause of a suspicious worker, in milliseconds; it doubles up to eightfold.
+	 * First pause of a worker that looks faulty, in milliseconds; it doubles with each
+	 * further pause, at most {@link #MAX_DOUBLINGS} times.
 	 */
 	private static final long FIRST_PAUSE_MILLIS = 2_000;
 
@@ -35,7 +40,7 @@
 	}
 
 	/**
-	 * Takes note of a failure.
+	 * Records a failure.
 	 * @param now the steady clock
 	 * @param job the job whose task failed
 	 * @return whether the worker is paused from now on
@@ -50,7 +55,8 @@
 		return true;
 	}
 
-	// For reasons that are not the worker's fault, such as a refusal for want of room.
+	// Used for reasons that are not the worker's fault, such as a refusal for lack of
+	// capacity.
 	void pauseUntil(long millis) {
 		this.pausedUntilMillis = Math.max(this.pausedUntilMillis, millis);
 	}
@@ -60,8 +66,8 @@
 	}
 
 	/**
-	 * How much speaks against the worker.
-	 * @return 0 for nothing, more for more
+	 * Returns the number of different jobs that failed since the last success.
+	 * @return the number of jobs
 	 */
 	int failedJobCount() {
 		return this.failedJobs.size();
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkerReportHandler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkerReportHandler.java
@@ -13,26 +13,32 @@
 import org.almondmount.workflow.WorkflowCommand;
 
 /**
- * Draws conclusions from what is heard, and not heard, of workers. Owned by the
- * scheduler.
+ * Evaluates the reports and the silence of workers. Owned by the scheduler.
  */
 final class WorkerReportHandler {
 
-	/** The way of an order to stop, and of the word that it is done, in milliseconds. */
+	/** Time to deliver a stop command and its confirmation, in milliseconds. */
 	private static final long STOP_COMMAND_MILLIS = 400;
 
-	/** A worker that leaves is there for about so much longer than it says. */
+	/**
+	 * Time by which a draining worker usually outlasts its announced end, in
+	 * milliseconds.
+	 */
 	private static final long DRAIN_MARGIN_MILLIS = 500;
 
-	/** Three reports without a percent more. */
+	/**
+	 * Time without progress after which a run is stalled: three reports of the same
+	 * percentage.
+	 */
 	private static final long STALL_TIMEOUT_MILLIS = 3_000;
 
 	/**
-	 * A task that lasts and has been at work for so long does not crash its workers.
+	 * Time after which a running task of a service is considered not to crash its
+	 * workers.
 	 */
 	private static final long CRASH_FREE_SERVICE_MILLIS = 30_000;
 
-	/** A worker whose tasks stood still gets nothing new for so long. */
+	/** Time for which a worker with a stalled run is given no new runs. */
 	private static final long STALL_PAUSE_MILLIS = 5_000;
 
 	private final SchedulerState state;
@@ -84,7 +90,9 @@
 		});
 	}
 
-	/** Gives up what ran where the lease has run out, and repeats unanswered orders. */
+	/**
+	 * Closes the runs of workers whose lease has lapsed, and resends unanswered commands.
+	 */
 	void tick() {
 		long now = this.state.steadyMillis();
 		for (Worker worker : List.copyOf(this.state.workers().values())) {
@@ -126,9 +134,10 @@
 		}
 	}
 
-	// What saves its progress is stopped just before its worker goes, so that all but the
-	// last moment is kept. What does not, and won't be done by then, only loses more by
-	// going on: it is stopped at once, with its gang, and begins elsewhere sooner.
+	// A run that saves checkpoints is stopped just before its worker ends, so that almost
+	// all of its work is kept. A run that does not, and cannot end in time, only loses
+	// more work by continuing: it is stopped at once, with its gang, and restarts
+	// elsewhere sooner.
 	private void moveFromDrainingWorker(long now, Run run) {
 		Worker worker = run.worker();
 		boolean movable = worker.draining() && run.running() && !run.stopping()
@@ -148,19 +157,17 @@
 		}
 	}
 
-	// Workers often stay a little longer than they say, and what is left is known to
-	// about
-	// a percent of the whole.
+	// Draining workers often stay a little longer than announced, and the remaining run
+	// time is known only to about a percent of the whole.
 	private static boolean cannotEndWithin(long availableMillis, long now, Run run) {
 		return run.remainingMillis(now) > availableMillis + availableMillis / 4 + DRAIN_MARGIN_MILLIS;
 	}
 
-	// A worker on which tasks stand still looks busy and healthy. A task that moves takes
-	// a
-	// tenth of a second for a percent; one that was seen at the same percentage for
-	// seconds is better begun elsewhere. A gang stands still as long as a member is
-	// missing, and a member that has done its part waits at its end for the slowest one:
-	// stopping it would throw the work of all of them away.
+	// A worker whose runs are stalled looks busy and healthy. A run that makes progress
+	// takes a tenth of a second for a percent, so a run that reports the same percentage
+	// for seconds is better restarted elsewhere. A gang makes no progress while a member
+	// is missing, and a member that has completed its part waits for the slowest member:
+	// stopping it would lose the work of all members.
 	private void stopIfStalled(long now, Run run) {
 		boolean stalled = run.running() && !run.stopping() && !run.isProgressComplete()
 				&& run.stalledMillis() >= STALL_TIMEOUT_MILLIS;
@@ -200,10 +207,10 @@
 		return next;
 	}
 
-	// What ran in the former life is gone. But a call to begin a run may reach the worker
-	// seconds after it was given up, and a worker that came back under its name would
-	// carry it out, so that the task would run twice. The order to stop it there settles
-	// that: a run that was stopped is refused from then on.
+	// The runs of the former life are gone. But a start command may reach the worker
+	// seconds after the run was given up, and a worker that has returned under the same
+	// name would execute it, so that the task would run twice. A stop command to the new
+	// life prevents this: a worker refuses a run that was stopped before.
 	private void stopRunOfFormerLife(Run run, Worker next) {
 		if (run.state() == Run.State.PERSISTING) {
 			run.worker().remove(run);
@@ -235,7 +242,7 @@
 		updateCrashRisk(run);
 	}
 
-	// A service is under many crashes in the end, none of them its fault.
+	// A service eventually experiences many crashes without being to blame.
 	private void updateCrashRisk(Run run) {
 		TaskState task = run.task();
 		if (task.crashes().isEmpty()) {
@@ -284,15 +291,15 @@
 	}
 
 	// An acknowledgement is lost with the connection, or with a target that restarts
-	// before its worker has heard it. The worker then lists the end again.
+	// before its worker has received it. The worker then reports the end again.
 	private void acknowledge(Worker worker, long upTo) {
 		worker.lastPersistedEnd(upTo);
 		this.state.emit(new WorkflowCommand.AcknowledgeEnds(worker.target(), worker.life(), upTo));
 	}
 
-	// What an earlier term ordered and the worker neither runs nor lists as ended was
-	// never begun: the worker obeys this epoch now and refuses whatever still comes of an
-	// earlier one. Only the order to stop it settles that for certain.
+	// A run of an earlier term that the worker neither runs nor reports as ended was
+	// never started: the worker now obeys this epoch and refuses commands of earlier ones
+	// that are still in transit. Only a stop command makes this certain.
 	private void stopAbsentInherited(Worker worker, WorkerReport report) {
 		Set<String> running = new HashSet<>();
 		report.running().forEach((run) -> running.add(run.task() + "/" + run.run()));
--- a/core/src/main/java/org/almondmount/workflow/impl/WriteAheadBuffer.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WriteAheadBuffer.java
@@ -14,17 +14,20 @@
 import org.almondmount.workflow.WorkflowCommand;
 
 /**
- * Keeps what changed before anything that rests on it takes effect. Mutable; owned by the
+ * Persists changes before effects that depend on them take place. Mutable; owned by the
  * scheduler.
  * <p>
- * A run that was ordered and is not kept would be unknown to the next holder of the term,
- * which could start the task a second time. So an effect waits until all that changed
- * before it is kept. One transaction is outstanding at a time; what changes meanwhile
- * goes into the next one.
+ * A run that was started but not persisted would be unknown to the next holder of the
+ * term, which could start the task a second time. An effect is therefore deferred until
+ * all changes made before it are persisted. At most one transaction is outstanding;
+ * changes that are made meanwhile go into the next one.
  */
 final class WriteAheadBuffer {
 
-	/** Records in one transaction; the store takes a hundred entries in all. */
+	/**
+	 * Maximum number of records in one transaction; the store takes a hundred entries in
+	 * total.
+	 */
 	static final int MAX_RECORDS = 90;
 
 	private final Set<JobState> dirty = new LinkedHashSet<>();
@@ -42,8 +45,8 @@
 	}
 
 	/**
-	 * Has something done once all that has changed so far is kept.
-	 * @param effect what to do
+	 * Runs an effect once all changes made so far are persisted.
+	 * @param effect the effect
 	 */
 	void afterPersisted(Runnable effect) {
 		this.effects.add(effect);
@@ -57,8 +60,8 @@
 	}
 
 	/**
-	 * Takes note that a transaction took effect.
-	 * @param persisted its sequence
+	 * Records that a transaction was committed.
+	 * @param persisted its sequence number
 	 */
 	void onPersisted(long persisted) {
 		if (!this.outstanding || persisted != this.sequence) {
@@ -69,8 +72,8 @@
 	}
 
 	/**
-	 * Starts the next transaction where none is outstanding.
-	 * @param commands where the command goes
+	 * Starts the next transaction if none is outstanding.
+	 * @param commands the list to which the command is added
 	 */
 	void flush(List<WorkflowCommand> commands) {
 		if (this.outstanding) {
@@ -112,7 +115,7 @@
 	}
 
 	/**
-	 * What one transaction keeps and what rests on it.
+	 * The records of one transaction and the effects that depend on it.
 	 */
 	private record Batch(List<JobRecord> records, Map<JobState, JobPhase> phases, List<Runnable> effects) {
 
--- a/core/src/main/java/org/almondmount/workflow/impl/package-info.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The decisions behind {@link org.almondmount.workflow.WorkflowScheduler}.
+ * The implementation of {@link org.almondmount.workflow.WorkflowScheduler}.
  */
 package org.almondmount.workflow.impl;
--- a/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
@@ -12,8 +12,8 @@
 
 	private final CrashHistory crashes = new CrashHistory();
 
-	// Guards against a crash that counts again with each report of it, after the task
-	// that lasts has shown that it is not to blame.
+	// Crash reports are repeated. Guards against counting a crash again after a service
+	// has shown that it is not to blame and its history has been cleared.
 	@Test
 	void repeatedReportOfAClearedCrashIsIgnored() {
 		assertThat(this.crashes.add(0, observedCrash(1))).isTrue();
--- a/core/src/test/java/org/almondmount/workflow/impl/RunTimeEstimatorTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/RunTimeEstimatorTests.java
@@ -17,8 +17,9 @@
 		assertThat(this.estimator.expected("q", 0)).isZero();
 	}
 
-	// In one queue the guesses are off by ten times either way while all tasks take about
-	// four seconds. A job that was thought to need 0.4 s looked as if it was too late.
+	// Guards against trusting inaccurate estimates: in a queue whose estimates are wrong
+	// by up to ten times either way while all tasks take about four seconds, a job with
+	// an estimate of 0.4 s was taken to be too late already.
 	@Test
 	void inaccurateEstimatesAreReplacedByTheUsualRunTimeOfTheQueue() {
 		Random random = new Random(1);
--- a/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
@@ -21,8 +21,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A full fleet with a long backlog: whether a unit fits is asked of nearly all that
- * waits, at each round. The quick answers have to be those of placing task by task.
+ * Guards the shortcuts that keep a placement round fast with a full fleet and a long
+ * backlog, where nearly every waiting unit is checked for whether it fits. Their results
+ * have to equal those of placing the tasks one by one.
  */
 class TentativeCapacityTests {
 
