--- a/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
@@ -278,7 +278,8 @@
 		JobState job = step.job();
 		if (this.state.has(SchedulerFeature.REST_SUSPICIOUS)
 				&& run.worker().health().recordFailure(this.state.steadyMillis(), job.id())) {
-			this.state.explain("worker-paused", "worker", run.worker().target(), "why", "several jobs failed there");
+			this.state.explain("worker-paused", "worker", run.worker().target(), "why",
+					"several jobs failed in a row on this worker");
 		}
 		if (step.spec().lasting()) {
 			return;
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkerReportHandler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkerReportHandler.java
@@ -152,7 +152,8 @@
 				: cannotEndWithin(availableMillis, now, run);
 		if (move) {
 			this.state.explain("run-moves", "task", run.task().id(), "run", run.number(), "worker", worker.target(),
-					"why", "the worker leaves", "staysMillis", availableMillis, "leftMillis", run.remainingMillis(now));
+					"why", "the worker is draining", "staysMillis", availableMillis, "leftMillis",
+					run.remainingMillis(now));
 			this.runLifecycle.stop(run, WorkOutcome.WORKER_LEFT);
 		}
 	}
