--- a/core/src/main/java/org/almondmount/workflow/impl/CrashAttribution.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashAttribution.java
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Attributes the crashes of one or more worker lives.
+	 * Attributes the crashes of one or more worker incarnations.
 	 * @param runs the runs that were running when their worker crashed
 	 * @return the crash of each task
 	 */
--- a/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/CrashHistory.java
@@ -103,11 +103,11 @@
 	 * as make it a suspect, each start counts towards the maximum, however it ends.
 	 * @param now the steady clock
 	 * @param run the run's number
-	 * @param life the life of the worker
+	 * @param incarnation the incarnation of the worker
 	 * @return whether the run counts
 	 */
-	boolean countRun(long now, int run, WorkerLife life) {
-		return this.crashes.size() >= SUSPECT_CRASH_COUNT && add(now, Crash.unseen(run, life));
+	boolean countRun(long now, int run, WorkerLife incarnation) {
+		return this.crashes.size() >= SUSPECT_CRASH_COUNT && add(now, Crash.unseen(run, incarnation));
 	}
 
 	/** Clears the history after a run has shown that the task is not to blame. */
--- a/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/DefaultWorkflowScheduler.java
@@ -124,7 +124,7 @@
 			this.reportHandler.onReport(reported.report());
 		}
 		else if (event instanceof WorkflowEvent.WorkerHeard heard) {
-			this.reportHandler.onContact(heard.target());
+			this.reportHandler.onHeartbeat(heard.target());
 		}
 		else if (event instanceof WorkflowEvent.RunRefused refused) {
 			this.reportHandler.onRefusal(refused.target(), refused.task(), refused.run(), refused.why());
@@ -194,11 +194,12 @@
 		this.runLifecycle.stopObsolete(job);
 	}
 
-	// Runs of earlier terms may name several lives of one worker. All of them are moved
-	// to the latest life, where each is either found running or reliably stopped.
+	// Runs of earlier terms may name several incarnations of one worker. All of them are
+	// moved to the latest incarnation, where each is either found running or reliably
+	// stopped.
 	private void inherit(TaskState task, OpenRun open) {
 		Worker worker = this.state.worker(open.target(), open.life());
-		if (worker.life().bornMillis() < open.life().bornMillis()) {
+		if (worker.incarnation().bornMillis() < open.life().bornMillis()) {
 			this.state.workers().remove(open.target());
 			Worker later = this.state.worker(open.target(), open.life());
 			List.copyOf(worker.runs()).forEach((run) -> run.moveTo(later));
--- a/core/src/main/java/org/almondmount/workflow/impl/Run.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Run.java
@@ -31,10 +31,10 @@
 	private Worker worker;
 
 	/**
-	 * The life of the worker in which the run may have started; {@link #worker} may be a
-	 * later life.
+	 * The incarnation of the worker in which the run may have started; {@link #worker}
+	 * may be a later incarnation.
 	 */
-	private WorkerLife startLife;
+	private WorkerLife startIncarnation;
 
 	private final long epoch;
 
@@ -76,13 +76,13 @@
 
 	private Optional<WorkOutcome> lossCause = Optional.empty();
 
-	private Optional<WorkerLife> lostWorkerLife = Optional.empty();
+	private Optional<WorkerLife> lostIncarnation = Optional.empty();
 
 	Run(TaskState task, int number, Worker worker, long epoch, State state) {
 		this.task = task;
 		this.number = number;
 		this.worker = worker;
-		this.startLife = worker.life();
+		this.startIncarnation = worker.incarnation();
 		this.epoch = epoch;
 		this.state = state;
 		this.resumedFromCheckpoint = !task.checkpoint().isEmpty();
@@ -94,13 +94,13 @@
 	 * Takes over a run that was started in an earlier term.
 	 * @param task the task
 	 * @param persisted the persisted state of the run
-	 * @param worker the latest known life of its worker
+	 * @param worker the latest known incarnation of its worker
 	 * @return the run
 	 */
 	static Run inherited(TaskState task, OpenRun persisted, Worker worker) {
 		Run run = new Run(task, persisted.number(), worker, persisted.epoch(), State.INHERITED);
-		run.startLife = persisted.life();
-		if (!persisted.life().equals(worker.life())) {
+		run.startIncarnation = persisted.life();
+		if (!persisted.life().equals(worker.incarnation())) {
 			run.markWorkerEnded();
 		}
 		return run;
@@ -129,28 +129,28 @@
 	 */
 	void markWorkerEnded() {
 		if (this.state == State.RUNNING || this.state == State.INHERITED) {
-			this.lostWorkerLife = Optional.of(this.startLife);
+			this.lostIncarnation = Optional.of(this.startIncarnation);
 		}
 	}
 
 	/**
-	 * Returns the life of the worker with which the run may have ended.
-	 * @return the life, or empty if the run ended otherwise
+	 * Returns the incarnation of the worker with which the run may have ended.
+	 * @return the incarnation, or empty if the run ended otherwise
 	 */
-	Optional<WorkerLife> lostWorkerLife() {
-		return this.lostWorkerLife;
+	Optional<WorkerLife> lostIncarnation() {
+		return this.lostIncarnation;
 	}
 
 	/**
-	 * Moves the run to a later life of its worker, in which it may still start. A run
-	 * that may have started before keeps its former life, so that a crash of that life
-	 * can be attributed to it.
-	 * @param later the later life
+	 * Moves the run to a later incarnation of its worker, in which it may still start. A
+	 * run that may have started before keeps its previous incarnation, so that a crash of
+	 * that incarnation can be attributed to it.
+	 * @param later the later incarnation
 	 */
 	void moveTo(Worker later) {
 		markWorkerEnded();
-		if (this.lostWorkerLife.isEmpty()) {
-			this.startLife = later.life();
+		if (this.lostIncarnation.isEmpty()) {
+			this.startIncarnation = later.incarnation();
 		}
 		this.worker.remove(this);
 		this.worker = later;
@@ -352,7 +352,7 @@
 	}
 
 	OpenRun toRecord() {
-		return new OpenRun(this.number, this.worker.target(), this.startLife, this.epoch);
+		return new OpenRun(this.number, this.worker.target(), this.startIncarnation, this.epoch);
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
@@ -70,32 +70,32 @@
 	/**
 	 * Closes a run that has certainly ended.
 	 * @param run the run
-	 * @param ending how it ended
+	 * @param outcome how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 */
-	void close(Run run, RunEnding ending, String checkpoint) {
+	void close(Run run, RunEnding outcome, String checkpoint) {
 		TaskState task = run.task();
 		StepState step = task.step();
 		JobState job = step.job();
-		RunWorkSummary work = RunWorkSummary.of(run, ending, checkpoint, this.state.steadyMillis());
+		RunWorkSummary work = RunWorkSummary.of(run, outcome, checkpoint, this.state.steadyMillis());
 		run.worker().remove(run);
 		task.openRuns().remove(run);
 		task.checkpoint(checkpoint);
 		this.state.writeAheadBuffer().markChanged(job);
-		this.state.explain("run-ended", "job", job.id(), "task", task.id(), "run", run.number(), "how", ending,
-				"worker", run.worker().target(), "life", run.worker().life(), "cause", work.cause(), "keptCoreSeconds",
-				Math.round(work.keptCoreSeconds()), "lostCoreSeconds", Math.round(work.lostCoreSeconds()),
-				"waitedCoreSeconds", Math.round(work.waitedCoreSeconds()));
+		this.state.explain("run-ended", "job", job.id(), "task", task.id(), "run", run.number(), "how", outcome,
+				"worker", run.worker().target(), "life", run.worker().incarnation(), "cause", work.cause(),
+				"keptCoreSeconds", Math.round(work.keptCoreSeconds()), "lostCoreSeconds",
+				Math.round(work.lostCoreSeconds()), "waitedCoreSeconds", Math.round(work.waitedCoreSeconds()));
 		account(work);
-		if (ending.done()) {
+		if (outcome.done()) {
 			run.worker().health().recordSuccess();
 			recordRunTime(run);
 			taskDone(step, task);
 		}
-		else if (ending.countsAsAttempt()) {
+		else if (outcome.countsAsAttempt()) {
 			taskFailed(run);
 		}
-		if (!ending.done() && ending != RunEnding.LOST) {
+		if (!outcome.done() && outcome != RunEnding.LOST) {
 			countRunAfterCrashes(run);
 		}
 		failIfExhausted(step.failureCountOwner(task));
@@ -112,7 +112,8 @@
 	 */
 	void closeLost(Run run, WorkOutcome cause) {
 		run.recordLossCause(cause);
-		run.lostWorkerLife().ifPresent((life) -> recordCrash(run.task(), Crash.unseen(run.number(), life)));
+		run.lostIncarnation()
+			.ifPresent((incarnation) -> recordCrash(run.task(), Crash.unseen(run.number(), incarnation)));
 		close(run, RunEnding.LOST, "");
 	}
 
@@ -161,8 +162,8 @@
 	 */
 	void sendStop(Run run) {
 		run.stopSent(this.state.steadyMillis());
-		this.state.emit(
-				new WorkflowCommand.StopRun(run.worker().target(), run.worker().life(), run.task().id(), run.number()));
+		this.state.emit(new WorkflowCommand.StopRun(run.worker().target(), run.worker().incarnation(), run.task().id(),
+				run.number()));
 	}
 
 	/**
@@ -173,7 +174,7 @@
 		run.startSent(this.state.steadyMillis());
 		StepState step = run.task().step();
 		String checkpoint = step.spec().gang() ? step.gangCheckpoint() : run.task().checkpoint();
-		this.state.emit(new WorkflowCommand.StartRun(run.worker().target(), run.worker().life(), run.task().id(),
+		this.state.emit(new WorkflowCommand.StartRun(run.worker().target(), run.worker().incarnation(), run.task().id(),
 				run.number(), step.job().workflow().program(), checkpoint, run.placementCapacity()));
 	}
 
@@ -221,7 +222,7 @@
 
 	private void countRunAfterCrashes(Run run) {
 		TaskState task = run.task();
-		if (task.crashes().countRun(this.state.steadyMillis(), run.number(), run.worker().life())) {
+		if (task.crashes().countRun(this.state.steadyMillis(), run.number(), run.worker().incarnation())) {
 			giveUpIfCrashLimitReached(task);
 		}
 	}
--- a/core/src/main/java/org/almondmount/workflow/impl/RunWorkSummary.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunWorkSummary.java
@@ -28,20 +28,20 @@
 	/**
 	 * Summarizes the work of a run that has ended.
 	 * @param run the run, still open
-	 * @param ending how it ended
+	 * @param outcome how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 * @param now the steady clock
 	 * @return its work
 	 */
-	static RunWorkSummary of(Run run, RunEnding ending, String checkpoint, long now) {
+	static RunWorkSummary of(Run run, RunEnding outcome, String checkpoint, long now) {
 		Step step = run.task().step().spec();
 		double cores = step.room().coreEquivalents();
 		double waited = cores * run.waitedMillis(now) / MILLIS_PER_SECOND;
 		double worked = cores * run.workedMillis(now) / MILLIS_PER_SECOND;
-		if (ending.done() || run.task().step().done() || step.lasting()) {
+		if (outcome.done() || run.task().step().done() || step.lasting()) {
 			return new RunWorkSummary(worked, 0, waited, WorkOutcome.KEPT);
 		}
-		WorkOutcome cause = run.lossCause().orElseGet(() -> causeOf(run, ending, now));
+		WorkOutcome cause = run.lossCause().orElseGet(() -> causeOf(run, outcome, now));
 		boolean workIsUseless = cause == WorkOutcome.CANCELLED || cause == WorkOutcome.JOB_FAILED;
 		double checkpointed = (step.checkpoints() && !workIsUseless)
 				? cores * run.checkpointedMillis(checkpoint, now) / MILLIS_PER_SECOND : 0;
@@ -63,8 +63,8 @@
 		return step.room().coreEquivalents() * (run.running() ? millis : STOP_START_MILLIS) / MILLIS_PER_SECOND;
 	}
 
-	private static WorkOutcome causeOf(Run run, RunEnding ending, long now) {
-		return switch (ending) {
+	private static WorkOutcome causeOf(Run run, RunEnding outcome, long now) {
+		return switch (outcome) {
 			case FAILED -> WorkOutcome.FAILED_TRY;
 			case LAPSED -> WorkOutcome.LEASE_LAPSED;
 			case ALONE -> WorkOutcome.GANG_WAITED;
--- a/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/SchedulerState.java
@@ -59,15 +59,16 @@
 	}
 
 	/**
-	 * Returns the workers by the name of their target, each with its current life only.
+	 * Returns the workers by the name of their target, each with its current incarnation
+	 * only.
 	 * @return the workers
 	 */
 	Map<String, Worker> workers() {
 		return this.workers;
 	}
 
-	Worker worker(String target, WorkerLife life) {
-		return this.workers.computeIfAbsent(target, (name) -> new Worker(name, life, steadyMillis()));
+	Worker worker(String target, WorkerLife incarnation) {
+		return this.workers.computeIfAbsent(target, (name) -> new Worker(name, incarnation, steadyMillis()));
 	}
 
 	RunTimeEstimator runTimeEstimator() {
--- a/core/src/main/java/org/almondmount/workflow/impl/Worker.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/Worker.java
@@ -9,8 +9,8 @@
 import org.almondmount.workflow.WorkerLife;
 
 /**
- * One life of a worker, with the runs that may be running there. Mutable; owned by the
- * scheduler.
+ * One incarnation of a worker, with the runs that may be running there. Mutable; owned by
+ * the scheduler.
  */
 final class Worker {
 
@@ -22,7 +22,7 @@
 
 	private final String target;
 
-	private final WorkerLife life;
+	private final WorkerLife incarnation;
 
 	private final Set<Run> runs = new LinkedHashSet<>();
 
@@ -58,9 +58,9 @@
 
 	private boolean lapsed;
 
-	Worker(String target, WorkerLife life, long contactMillis) {
+	Worker(String target, WorkerLife incarnation, long contactMillis) {
 		this.target = target;
-		this.life = life;
+		this.incarnation = incarnation;
 		this.lastContactMillis = contactMillis;
 	}
 
@@ -68,8 +68,8 @@
 		return this.target;
 	}
 
-	WorkerLife life() {
-		return this.life;
+	WorkerLife incarnation() {
+		return this.incarnation;
 	}
 
 	Optional<WorkerDescription> description() {
--- a/core/src/main/java/org/almondmount/workflow/impl/WorkerReportHandler.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/WorkerReportHandler.java
@@ -50,7 +50,7 @@
 		this.runLifecycle = runLifecycle;
 	}
 
-	void onContact(String target) {
+	void onHeartbeat(String target) {
 		Worker worker = this.state.workers().get(target);
 		if (worker != null) {
 			worker.recordContact(this.state.steadyMillis());
@@ -63,8 +63,8 @@
 		worker.describe(this.state.steadyMillis(), report.worker());
 		worker.raiseEpoch(report.epoch());
 		if (worker.draining() && !wasDraining) {
-			this.state.explain("worker-draining", "worker", worker.target(), "life", worker.life(), "remainingMillis",
-					report.worker().remainingMillis());
+			this.state.explain("worker-draining", "worker", worker.target(), "life", worker.incarnation(),
+					"remainingMillis", report.worker().remainingMillis());
 		}
 		for (WorkerReport.Running running : report.running()) {
 			processRunning(worker, running);
@@ -109,7 +109,7 @@
 
 	private void lapse(Worker worker) {
 		worker.lapse();
-		this.state.explain("worker-lapsed", "worker", worker.target(), "life", worker.life(), "silentMillis",
+		this.state.explain("worker-lapsed", "worker", worker.target(), "life", worker.incarnation(), "silentMillis",
 				this.state.steadyMillis() - worker.lastContactMillis(), "runs", worker.runs().size());
 		closeLostRuns(worker);
 	}
@@ -189,30 +189,30 @@
 	}
 
 	private Worker resolveWorker(WorkerReport report) {
-		WorkerLife life = report.worker().life();
+		WorkerLife incarnation = report.worker().life();
 		Worker known = this.state.workers().get(report.target());
-		if (known != null && known.life().equals(life)) {
+		if (known != null && known.incarnation().equals(incarnation)) {
 			known.recordContact(this.state.steadyMillis());
 			return known;
 		}
 		this.state.workers().remove(report.target());
-		Worker next = this.state.worker(report.target(), life);
+		Worker next = this.state.worker(report.target(), incarnation);
 		next.raiseEpoch(report.epoch());
-		this.state.explain("worker-known", "worker", report.target(), "life", life, "zone", report.worker().zone(),
-				"rack", report.worker().rack(), "capacity", report.worker().capacity());
+		this.state.explain("worker-known", "worker", report.target(), "life", incarnation, "zone",
+				report.worker().zone(), "rack", report.worker().rack(), "capacity", report.worker().capacity());
 		if (known != null) {
-			this.state.explain("worker-reborn", "worker", known.target(), "life", life, "before", known.life(), "runs",
-					known.runs().size());
-			List.copyOf(known.runs()).forEach((run) -> stopRunOfFormerLife(run, next));
+			this.state.explain("worker-reborn", "worker", known.target(), "life", incarnation, "before",
+					known.incarnation(), "runs", known.runs().size());
+			List.copyOf(known.runs()).forEach((run) -> stopRunOfPreviousIncarnation(run, next));
 		}
 		return next;
 	}
 
-	// The runs of the former life are gone. But a start command may reach the worker
-	// seconds after the run was given up, and a worker that has returned under the same
-	// name would execute it, so that the task would run twice. A stop command to the new
-	// life prevents this: a worker refuses a run that was stopped before.
-	private void stopRunOfFormerLife(Run run, Worker next) {
+	// The runs of the previous incarnation are gone. But a start command may reach the
+	// worker seconds after the run was given up, and a worker that has returned under the
+	// same name would execute it, so that the task would run twice. A stop command to the
+	// new incarnation prevents this: a worker refuses a run that was stopped before.
+	private void stopRunOfPreviousIncarnation(Run run, Worker next) {
 		if (run.state() == Run.State.PERSISTING) {
 			run.worker().remove(run);
 			this.runLifecycle.closeLost(run, WorkOutcome.WORKER_LOST);
@@ -227,7 +227,8 @@
 		Optional<Run> known = findRun(worker, running.task(), running.run());
 		if (known.isEmpty()) {
 			this.state.explain("run-unwanted", "task", running.task(), "run", running.run(), "worker", worker.target());
-			this.state.emit(new WorkflowCommand.StopRun(worker.target(), worker.life(), running.task(), running.run()));
+			this.state.emit(
+					new WorkflowCommand.StopRun(worker.target(), worker.incarnation(), running.task(), running.run()));
 			return;
 		}
 		Run run = known.get();
@@ -295,7 +296,7 @@
 	// before its worker has received it. The worker then reports the end again.
 	private void acknowledge(Worker worker, long upTo) {
 		worker.lastPersistedEnd(upTo);
-		this.state.emit(new WorkflowCommand.AcknowledgeEnds(worker.target(), worker.life(), upTo));
+		this.state.emit(new WorkflowCommand.AcknowledgeEnds(worker.target(), worker.incarnation(), upTo));
 	}
 
 	// A run of an earlier term that the worker neither runs nor reports as ended was
--- a/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
@@ -8,7 +8,7 @@
 
 class CrashHistoryTests {
 
-	private static final WorkerLife LIFE = new WorkerLife("worker-1", 1);
+	private static final WorkerLife INCARNATION = new WorkerLife("worker-1", 1);
 
 	private final CrashHistory crashes = new CrashHistory();
 
@@ -30,7 +30,7 @@
 	}
 
 	private static Crash observedCrash(int run) {
-		return new Crash(run, LIFE, true, 500, 100);
+		return new Crash(run, INCARNATION, true, 500, 100);
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
@@ -81,9 +81,9 @@
 	private List<Worker> workers(Random random) {
 		List<Worker> workers = new ArrayList<>();
 		for (int number = 0; number < 1 + random.nextInt(6); number++) {
-			WorkerLife life = new WorkerLife("w" + number, 1);
-			Worker worker = new Worker("t" + number, life, 0);
-			worker.describe(NOW, new WorkerDescription(life, "pool", "z", Set.of("r1-1"), CAPACITY, false, 0));
+			WorkerLife incarnation = new WorkerLife("w" + number, 1);
+			Worker worker = new Worker("t" + number, incarnation, 0);
+			worker.describe(NOW, new WorkerDescription(incarnation, "pool", "z", Set.of("r1-1"), CAPACITY, false, 0));
 			fill(random, worker);
 			workers.add(worker);
 		}
