--- a/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
+++ b/core/src/main/java/org/almondmount/workflow/impl/RunLifecycle.java
@@ -15,12 +15,12 @@
 import org.almondmount.workflow.WorkflowCommand;
 
 /**
- * Opens and closes runs, and draws what follows for their tasks and jobs. Owned by the
- * scheduler.
+ * Opens and closes runs, and applies the consequences to their tasks and jobs. Owned by
+ * the scheduler.
  */
 final class RunLifecycle {
 
-	/** Pause before a task that failed is tried again, in milliseconds. */
+	/** Delay before a failed task is retried, in milliseconds. */
 	private static final long RETRY_DELAY_MILLIS = 100;
 
 	private final SchedulerState state;
@@ -30,7 +30,8 @@
 	}
 
 	/**
-	 * Opens a run for each task of a unit; the orders leave once the runs are kept.
+	 * Opens a run for each task of a unit; the start commands are sent once the runs are
+	 * persisted.
 	 * @param unit the unit
 	 * @param placement the worker of each task
 	 */
@@ -67,34 +68,34 @@
 	}
 
 	/**
-	 * Closes a run that is surely over.
+	 * Closes a run that has certainly ended.
 	 * @param run the run
-	 * @param ending how it ended
+	 * @param outcome how it ended
 	 * @param checkpoint its last checkpoint, or empty
 	 */
-	void close(Run run, RunOutcome ending, String checkpoint) {
+	void close(Run run, RunOutcome outcome, String checkpoint) {
 		TaskState task = run.task();
 		StepState step = task.step();
 		JobState job = step.job();
-		RunWorkSummary work = RunWorkSummary.of(run, ending, checkpoint, this.state.steadyMillis());
+		RunWorkSummary work = RunWorkSummary.of(run, outcome, checkpoint, this.state.steadyMillis());
 		run.worker().remove(run);
 		task.openRuns().remove(run);
 		task.checkpoint(checkpoint);
 		this.state.writeAheadBuffer().markChanged(job);
-		this.state.explain("run-ended", "job", job.id(), "task", task.id(), "run", run.number(), "how", ending,
-				"worker", run.worker().target(), "life", run.worker().life(), "cause", work.cause(), "keptCoreSeconds",
-				Math.round(work.keptCoreSeconds()), "lostCoreSeconds", Math.round(work.lostCoreSeconds()),
-				"waitedCoreSeconds", Math.round(work.waitedCoreSeconds()));
+		this.state.explain("run-ended", "job", job.id(), "task", task.id(), "run", run.number(), "how", outcome,
+				"worker", run.worker().target(), "life", run.worker().incarnation(), "cause", work.cause(),
+				"keptCoreSeconds", Math.round(work.keptCoreSeconds()), "lostCoreSeconds",
+				Math.round(work.lostCoreSeconds()), "waitedCoreSeconds", Math.round(work.waitedCoreSeconds()));
 		account(work);
-		if (ending.done()) {
+		if (outcome.done()) {
 			run.worker().health().recordSuccess();
 			recordRunTime(run);
 			taskDone(step, task);
 		}
-		else if (ending.countsAsAttempt()) {
+		else if (outcome.countsAsAttempt()) {
 			taskFailed(run);
 		}
-		if (!ending.done() && ending != RunOutcome.LOST) {
+		if (!outcome.done() && outcome != RunOutcome.LOST) {
 			countRunAfterCrashes(run);
 		}
 		failIfExhausted(step.failureCountOwner(task));
@@ -104,20 +105,22 @@
 	}
 
 	/**
-	 * Closes a run that is surely over, though its worker did not list its end.
+	 * Closes a run that has certainly ended, although its worker did not report the end.
 	 * @param run the run
-	 * @param cause for what its work is lost, unless a reason is known already
+	 * @param cause the reason for the loss of its work, unless a reason is already
+	 * recorded
 	 */
 	void closeLost(Run run, WorkOutcome cause) {
 		run.recordLossCause(cause);
-		run.lostWorkerLife().ifPresent((life) -> recordCrash(run.task(), Crash.unconfirmed(run.number(), life)));
+		run.lostIncarnation()
+			.ifPresent((incarnation) -> recordCrash(run.task(), Crash.unconfirmed(run.number(), incarnation)));
 		close(run, RunOutcome.LOST, "");
 	}
 
 	/**
-	 * Orders a run to end.
+	 * Stops a run.
 	 * @param run the run
-	 * @param cause for what its work is lost
+	 * @param cause the reason for the loss of its work
 	 */
 	void stop(Run run, WorkOutcome cause) {
 		if (run.stopping()) {
@@ -130,11 +133,12 @@
 	}
 
 	/**
-	 * Orders the obsolete runs of a job to end: all open ones where the job was cancelled
-	 * or has failed, and the members of a gang that is not whole. What was kept says that
-	 * nobody wants them, not that they heard of it: the orders of an earlier term may
-	 * never have arrived. Where a member of a gang is done, so are the others.
-	 * @param job a job that an earlier term left
+	 * Stops the obsolete runs of a job: all open runs if the job was cancelled or has
+	 * failed, and the members of incomplete gangs. The persisted state shows that these
+	 * runs are no longer wanted, but not that their workers know it: the stop commands of
+	 * an earlier term may never have arrived. If one member of a gang is done, all
+	 * members are done.
+	 * @param job a job of an earlier term
 	 */
 	void stopObsolete(JobState job) {
 		if (job.phase() == JobPhase.COMPLETED) {
@@ -153,31 +157,31 @@
 	}
 
 	/**
-	 * Sends the order to end a run, for the first time or again.
+	 * Sends or resends the stop command of a run.
 	 * @param run the run
 	 */
 	void sendStop(Run run) {
 		run.stopSent(this.state.steadyMillis());
-		this.state.emit(
-				new WorkflowCommand.StopRun(run.worker().target(), run.worker().life(), run.task().id(), run.number()));
+		this.state.emit(new WorkflowCommand.StopRun(run.worker().target(), run.worker().incarnation(), run.task().id(),
+				run.number()));
 	}
 
 	/**
-	 * Sends the order to begin a run, for the first time or again.
+	 * Sends or resends the start command of a run.
 	 * @param run the run
 	 */
 	void sendStart(Run run) {
 		run.startSent(this.state.steadyMillis());
 		StepState step = run.task().step();
 		String checkpoint = step.spec().gangScheduled() ? step.gangCheckpoint() : run.task().checkpoint();
-		this.state.emit(new WorkflowCommand.StartRun(run.worker().target(), run.worker().life(), run.task().id(),
+		this.state.emit(new WorkflowCommand.StartRun(run.worker().target(), run.worker().incarnation(), run.task().id(),
 				run.number(), step.job().workflow().program(), checkpoint, run.placementCapacity()));
 	}
 
-	// Between choice and order the run was being kept, and the worker's zone may have
-	// been taken out, or the worker have said that it leaves or has less room. Nothing
-	// was sent yet, so the runs can be closed as never begun. A gang is ordered whole or
-	// not at all.
+	// While the runs were being persisted, the zone of a worker may have been taken out,
+	// or the worker may have started to drain or have reported less capacity. Nothing has
+	// been sent yet, so the runs can be closed as never started. Either all members of a
+	// gang are started or none.
 	private void startOrClose(StepState step, List<Run> runs) {
 		boolean startable = !step.job().over();
 		for (Run run : runs) {
@@ -198,7 +202,7 @@
 	}
 
 	/**
-	 * Counts a crash against a task that was at work on the worker, once for each run.
+	 * Counts a crash against a task that was running on the worker, once for each run.
 	 * @param task the task
 	 * @param crash the crash
 	 */
@@ -218,7 +222,7 @@
 
 	private void countRunAfterCrashes(Run run) {
 		TaskState task = run.task();
-		if (task.crashes().countRun(this.state.steadyMillis(), run.number(), run.worker().life())) {
+		if (task.crashes().countRun(this.state.steadyMillis(), run.number(), run.worker().incarnation())) {
 			giveUpIfCrashLimitReached(task);
 		}
 	}
@@ -231,7 +235,7 @@
 	}
 
 	/**
-	 * Fails the jobs whose attempts are used up by what their queues say now.
+	 * Fails the jobs that have used up the attempts that their queues currently allow.
 	 */
 	void failExhaustedJobs() {
 		for (JobState job : this.state.jobs().values()) {
@@ -241,7 +245,7 @@
 		}
 	}
 
-	// A run that is open was begun in time and may still succeed.
+	// An open run started while attempts were left and may still succeed.
 	private void failIfExhausted(TaskState task) {
 		if (task.failures() > 0 && task.idle() && !task.done()) {
 			failIfExhausted(task.step().job(), task, task.failures());
@@ -276,7 +280,8 @@
 		JobState job = step.job();
 		if (this.state.has(SchedulerFeature.REST_SUSPICIOUS)
 				&& run.worker().health().recordFailure(this.state.steadyMillis(), job.id())) {
-			this.state.explain("worker-paused", "worker", run.worker().target(), "why", "several jobs failed there");
+			this.state.explain("worker-paused", "worker", run.worker().target(), "why",
+					"several jobs failed in a row on this worker");
 		}
 		if (step.spec().longRunning()) {
 			return;
@@ -286,8 +291,8 @@
 		failIfExhausted(job, run.task(), failures);
 	}
 
-	// A new holder may hear of a failure before it has read the queue that says how many
-	// attempts there are. The job is judged once the queue is known.
+	// A new holder may receive the report of a failure before it has read the queue that
+	// sets the number of attempts. The job is checked once the queue is known.
 	private void failIfExhausted(JobState job, TaskState task, int failures) {
 		Optional<JobQueue> queue = this.state.queueOf(job);
 		if (job.over() || queue.isEmpty() || failures < queue.get().maxAttempts()) {
@@ -305,8 +310,8 @@
 		job.openRuns().forEach((open) -> stop(open, WorkOutcome.JOB_FAILED));
 	}
 
-	// The worker ends the other members by itself, but one whose start is still on its
-	// way would wait for them until the gang's time runs out.
+	// The worker ends the other members by itself, but a member whose start command is
+	// still in transit would wait for them until the gang timeout.
 	private void stopAll(StepState step, WorkOutcome cause) {
 		for (TaskState task : step.tasks()) {
 			List.copyOf(task.openRuns()).forEach((run) -> stop(run, cause));
--- a/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/CrashHistoryTests.java
@@ -8,12 +8,12 @@
 
 class CrashHistoryTests {
 
-	private static final WorkerIncarnation LIFE = new WorkerIncarnation("worker-1", 1);
+	private static final WorkerIncarnation INCARNATION = new WorkerIncarnation("worker-1", 1);
 
 	private final CrashHistory crashes = new CrashHistory();
 
-	// Guards against a crash that counts again with each report of it, after the task
-	// that lasts has shown that it is not to blame.
+	// Crash reports are repeated. Guards against counting a crash again after a service
+	// has shown that it is not to blame and its history has been cleared.
 	@Test
 	void repeatedReportOfAClearedCrashIsIgnored() {
 		assertThat(this.crashes.add(0, observedCrash(1))).isTrue();
@@ -30,7 +30,7 @@
 	}
 
 	private static Crash observedCrash(int run) {
-		return new Crash(run, LIFE, true, 500, 100);
+		return new Crash(run, INCARNATION, true, 500, 100);
 	}
 
 }
--- a/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
+++ b/core/src/test/java/org/almondmount/workflow/impl/TentativeCapacityTests.java
@@ -21,8 +21,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A full fleet with a long backlog: whether a unit fits is asked of nearly all that
- * waits, at each round. The quick answers have to be those of placing task by task.
+ * Guards the shortcuts that keep a placement round fast with a full fleet and a long
+ * backlog, where nearly every waiting unit is checked for whether it fits. Their results
+ * have to equal those of placing the tasks one by one.
  */
 class TentativeCapacityTests {
 
@@ -80,9 +81,9 @@
 	private List<Worker> workers(Random random) {
 		List<Worker> workers = new ArrayList<>();
 		for (int number = 0; number < 1 + random.nextInt(6); number++) {
-			WorkerIncarnation life = new WorkerIncarnation("w" + number, 1);
-			Worker worker = new Worker("t" + number, life, 0);
-			worker.describe(NOW, new WorkerDescription(life, "pool", "z", Set.of("r1-1"), CAPACITY, false, 0));
+			WorkerIncarnation incarnation = new WorkerIncarnation("w" + number, 1);
+			Worker worker = new Worker("t" + number, incarnation, 0);
+			worker.describe(NOW, new WorkerDescription(incarnation, "pool", "z", Set.of("r1-1"), CAPACITY, false, 0));
 			fill(random, worker);
 			workers.add(worker);
 		}
