--- a/core/src/main/java/org/almondmount/gang/MemberCommand.java
+++ b/core/src/main/java/org/almondmount/gang/MemberCommand.java
@@ -16,7 +16,7 @@
 	}
 
 	/** Report: not held, and nothing of it ran here. */
-	record ReportRefused(Attempt attempt, int member, String why) implements MemberCommand {
+	record ReportRefused(Attempt attempt, int member, String reason) implements MemberCommand {
 	}
 
 	/** Start the task on the worker under a lease that has to be renewed. */
@@ -50,7 +50,7 @@
 	/**
 	 * Report: over. Repeated until an entry acknowledges it by forgetting the attempt.
 	 */
-	record ReportEnded(Attempt attempt, int member, Ending ending) implements MemberCommand {
+	record ReportEnded(Attempt attempt, int member, Ending outcome) implements MemberCommand {
 	}
 
 	/** Report: usage. */
--- a/core/src/main/java/org/almondmount/gang/MemberEvent.java
+++ b/core/src/main/java/org/almondmount/gang/MemberEvent.java
@@ -40,11 +40,11 @@
 	 * Some entry hears every member of the attempt running.
 	 *
 	 * @param attempt the attempt
-	 * @param ageMillis how long ago the question was sent to which this is the answer;
-	 * the gang lease counts from there, so that an answer that was held back extends
-	 * nothing
+	 * @param heartbeatAgeMillis how long ago the question was sent to which this is the
+	 * answer; the gang lease counts from there, so that an answer that was held back
+	 * extends nothing
 	 */
-	record WholeHeard(Attempt attempt, long ageMillis) implements MemberEvent {
+	record GangConfirmedRunning(Attempt attempt, long heartbeatAgeMillis) implements MemberEvent {
 	}
 
 	/** The worker reports that the task runs. */
@@ -56,7 +56,7 @@
 	}
 
 	/** The worker reports the end of the task. */
-	record TaskEnded(Attempt attempt, int member, Ending ending) implements MemberEvent {
+	record TaskEnded(Attempt attempt, int member, Ending outcome) implements MemberEvent {
 	}
 
 	/** The worker reports what the task used a while ago. */
@@ -68,22 +68,22 @@
 	 *
 	 * @param state the state
 	 * @param revision the revision at which it was declared
-	 * @param freshForMillis for how much longer it may be used to start work; 0 when it
+	 * @param validForMillis for how much longer it may be used to start work; 0 when it
 	 * is too old already
 	 */
-	record ZoneHeard(ZoneState state, long revision, long freshForMillis) implements MemberEvent {
+	record ZoneStateReceived(ZoneState state, long revision, long validForMillis) implements MemberEvent {
 	}
 
 	/** An entry has recorded how the attempt ended: reports about it can cease. */
-	record Forgotten(Attempt attempt) implements MemberEvent {
+	record EndRecorded(Attempt attempt) implements MemberEvent {
 	}
 
 	/** The process shuts down or its VM leaves. */
-	record Draining() implements MemberEvent {
+	record DrainRequested() implements MemberEvent {
 	}
 
 	/** A regular tick. */
-	record TimePassed() implements MemberEvent {
+	record Tick() implements MemberEvent {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/gang/MemberKeeper.java
+++ b/core/src/main/java/org/almondmount/gang/MemberManager.java
@@ -6,7 +6,7 @@
  * The entrance to a worker's decisions about gang members. Deterministic; not
  * thread-safe.
  */
-public interface MemberKeeper {
+public interface MemberManager {
 
 	/**
 	 * Takes one event.
@@ -20,12 +20,12 @@
 	 * The members that are held or running here, for heartbeats.
 	 * @return the members
 	 */
-	List<HeldMember> held();
+	List<HeldMember> heldMembers();
 
 	/**
 	 * The highest epoch whose orders were seen, for heartbeats.
 	 * @return the epoch, 0 before the first order
 	 */
-	long epoch();
+	long highestEpoch();
 
 }
--- a/core/src/main/java/org/almondmount/gang/MemberPolicy.java
+++ b/core/src/main/java/org/almondmount/gang/MemberPolicy.java
@@ -11,44 +11,44 @@
  * @param prepareHold how long room is held for a member that is not started
  * @param gangTimeout how long a member runs without hearing that its gang is whole
  * @param taskLease the lease under which the worker runs a task
- * @param suspendLimit how long a task may take to checkpoint before it is stopped
- * @param reportEvery interval at which reports are repeated
- * @param repeatStartedFor how long the report of a start is repeated
- * @param rememberAttempts how long the highest given-up attempt of a job is known
- * @param rememberAtMost jobs of which that is known at the same time
+ * @param suspendTimeout how long a task may take to checkpoint before it is stopped
+ * @param reportInterval interval at which reports are repeated
+ * @param startedReportPeriod how long the report of a start is repeated
+ * @param fenceRetention how long the highest given-up attempt of a job is known
+ * @param maxFencedJobs jobs of which that is known at the same time
  */
 public record MemberPolicy(Resources capacity, Duration prepareHold, Duration gangTimeout, Duration taskLease,
-		Duration suspendLimit, Duration reportEvery, Duration repeatStartedFor, Duration rememberAttempts,
-		int rememberAtMost) {
+		Duration suspendTimeout, Duration reportInterval, Duration startedReportPeriod, Duration fenceRetention,
+		int maxFencedJobs) {
 
 	/** The options that hold where nothing else is said, for a worker without room. */
 	public static final MemberPolicy DEFAULT = new MemberPolicy(Resources.NONE, Duration.ofSeconds(5),
 			Duration.ofSeconds(6), Duration.ofSeconds(6), Duration.ofSeconds(10), Duration.ofSeconds(1),
 			Duration.ofSeconds(10), Duration.ofMinutes(10), 65_536);
 
-	public MemberPolicy withCapacity(Resources room) {
-		return new MemberPolicy(room, this.prepareHold, this.gangTimeout, this.taskLease, this.suspendLimit,
-				this.reportEvery, this.repeatStartedFor, this.rememberAttempts, this.rememberAtMost);
+	public MemberPolicy withCapacity(Resources newCapacity) {
+		return new MemberPolicy(newCapacity, this.prepareHold, this.gangTimeout, this.taskLease, this.suspendTimeout,
+				this.reportInterval, this.startedReportPeriod, this.fenceRetention, this.maxFencedJobs);
 	}
 
-	public MemberPolicy withPrepareHold(Duration time) {
-		return new MemberPolicy(this.capacity, time, this.gangTimeout, this.taskLease, this.suspendLimit,
-				this.reportEvery, this.repeatStartedFor, this.rememberAttempts, this.rememberAtMost);
+	public MemberPolicy withPrepareHold(Duration newPrepareHold) {
+		return new MemberPolicy(this.capacity, newPrepareHold, this.gangTimeout, this.taskLease, this.suspendTimeout,
+				this.reportInterval, this.startedReportPeriod, this.fenceRetention, this.maxFencedJobs);
 	}
 
-	public MemberPolicy withGangTimeout(Duration time) {
-		return new MemberPolicy(this.capacity, this.prepareHold, time, this.taskLease, this.suspendLimit,
-				this.reportEvery, this.repeatStartedFor, this.rememberAttempts, this.rememberAtMost);
+	public MemberPolicy withGangTimeout(Duration newGangTimeout) {
+		return new MemberPolicy(this.capacity, this.prepareHold, newGangTimeout, this.taskLease, this.suspendTimeout,
+				this.reportInterval, this.startedReportPeriod, this.fenceRetention, this.maxFencedJobs);
 	}
 
-	public MemberPolicy withTaskLease(Duration time) {
-		return new MemberPolicy(this.capacity, this.prepareHold, this.gangTimeout, time, this.suspendLimit,
-				this.reportEvery, this.repeatStartedFor, this.rememberAttempts, this.rememberAtMost);
+	public MemberPolicy withTaskLease(Duration newTaskLease) {
+		return new MemberPolicy(this.capacity, this.prepareHold, this.gangTimeout, newTaskLease, this.suspendTimeout,
+				this.reportInterval, this.startedReportPeriod, this.fenceRetention, this.maxFencedJobs);
 	}
 
-	public MemberPolicy withSuspendLimit(Duration time) {
-		return new MemberPolicy(this.capacity, this.prepareHold, this.gangTimeout, this.taskLease, time,
-				this.reportEvery, this.repeatStartedFor, this.rememberAttempts, this.rememberAtMost);
+	public MemberPolicy withSuspendTimeout(Duration newSuspendTimeout) {
+		return new MemberPolicy(this.capacity, this.prepareHold, this.gangTimeout, this.taskLease, newSuspendTimeout,
+				this.reportInterval, this.startedReportPeriod, this.fenceRetention, this.maxFencedJobs);
 	}
 
 	/**
@@ -56,7 +56,7 @@
 	 * runs out.
 	 * @return a third of the lease
 	 */
-	public Duration renewEvery() {
+	public Duration renewalInterval() {
 		return this.taskLease.dividedBy(3);
 	}
 
--- /dev/null
+++ b/core/src/main/java/org/almondmount/gang/RunningGangTracker.java
@@ -0,0 +1,138 @@
+package org.almondmount.gang;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+import org.almondmount.jobs.Attempt;
+import org.almondmount.model.WorkerId;
+
+/**
+ * Tells which attempts are heard whole at one entry. Deterministic; not thread-safe.
+ * <p>
+ * An attempt is whole while every one of its members was heard running within the bound.
+ * A held member does not count: were a mix of held and running members whole, a gang
+ * whose start reached only half of it would keep its running half alive for as long as
+ * the other half is held again and again. Members that run have the gang timeout from
+ * their own start, which is time enough for the others to start.
+ */
+public final class RunningGangTracker {
+
+	private final long heartbeatValidityMillis;
+
+	private final Map<Attempt, Gang> gangs = new HashMap<>();
+
+	private final Map<WorkerId, List<HeldMember>> membersByWorker = new HashMap<>();
+
+	/**
+	 * Makes a tracker that has heard nothing.
+	 * @param heartbeatValidityMillis how long what a heartbeat said is believed, in
+	 * milliseconds
+	 */
+	public RunningGangTracker(long heartbeatValidityMillis) {
+		this.heartbeatValidityMillis = heartbeatValidityMillis;
+	}
+
+	/**
+	 * Takes what a worker's heartbeat says; it replaces what the last one said.
+	 * @param nowMillis the time
+	 * @param worker the worker
+	 * @param members all that it holds and runs
+	 */
+	public void recordHeartbeat(long nowMillis, WorkerId worker, List<HeldMember> members) {
+		removeMembers(worker);
+		this.membersByWorker.put(worker, List.copyOf(members));
+		for (HeldMember member : members) {
+			if (member.running()) {
+				Gang gang = this.gangs.computeIfAbsent(member.attempt(), (id) -> new Gang());
+				gang.memberCount = member.members();
+				gang.runningMembers.put(member.member(), new MemberHeartbeat(worker, nowMillis));
+			}
+		}
+	}
+
+	/**
+	 * The connection to a worker is gone.
+	 * @param worker the worker
+	 */
+	public void removeWorker(WorkerId worker) {
+		removeMembers(worker);
+	}
+
+	/**
+	 * Whether every member of the attempt was heard running within the bound.
+	 * @param nowMillis the time
+	 * @param attempt the attempt
+	 * @return true if it is whole
+	 */
+	public boolean isFullyRunning(long nowMillis, Attempt attempt) {
+		Gang gang = this.gangs.get(attempt);
+		return gang != null && gang.isFullyRunning(nowMillis, this.heartbeatValidityMillis);
+	}
+
+	/**
+	 * The attempts that a worker takes part in and that are whole, for the reply to its
+	 * heartbeat.
+	 * @param nowMillis the time
+	 * @param worker the worker
+	 * @return the attempts, each once
+	 */
+	public List<Attempt> fullyRunningAttempts(long nowMillis, WorkerId worker) {
+		List<Attempt> attempts = new ArrayList<>();
+		for (HeldMember member : this.membersByWorker.getOrDefault(worker, List.of())) {
+			if (!attempts.contains(member.attempt()) && isFullyRunning(nowMillis, member.attempt())) {
+				attempts.add(member.attempt());
+			}
+		}
+		return attempts;
+	}
+
+	private void removeMembers(WorkerId worker) {
+		List<HeldMember> members = this.membersByWorker.remove(worker);
+		if (members == null) {
+			return;
+		}
+		for (HeldMember member : members) {
+			Gang gang = this.gangs.get(member.attempt());
+			if (gang == null) {
+				continue;
+			}
+			gang.remove(member.member(), worker);
+			if (gang.runningMembers.isEmpty()) {
+				this.gangs.remove(member.attempt());
+			}
+		}
+	}
+
+	private record MemberHeartbeat(WorkerId worker, long receivedAtMillis) {
+	}
+
+	private static final class Gang {
+
+		private final Map<Integer, MemberHeartbeat> runningMembers = new HashMap<>();
+
+		private int memberCount;
+
+		private void remove(int member, WorkerId worker) {
+			MemberHeartbeat heartbeat = this.runningMembers.get(member);
+			if (heartbeat != null && heartbeat.worker().equals(worker)) {
+				this.runningMembers.remove(member);
+			}
+		}
+
+		private boolean isFullyRunning(long nowMillis, long validityMillis) {
+			if (this.runningMembers.size() < this.memberCount) {
+				return false;
+			}
+			for (MemberHeartbeat heartbeat : this.runningMembers.values()) {
+				if (nowMillis - heartbeat.receivedAtMillis() > validityMillis) {
+					return false;
+				}
+			}
+			return true;
+		}
+
+	}
+
+}
--- a/core/src/main/java/org/almondmount/gang/impl/AttemptFences.java
+++ b/core/src/main/java/org/almondmount/gang/impl/AttemptFences.java
@@ -16,15 +16,15 @@
  */
 final class AttemptFences {
 
-	private final long rememberMillis;
+	private final long retentionMillis;
 
-	private final int most;
+	private final int maxJobs;
 
 	private final Map<JobId, Fence> fences = new LinkedHashMap<>();
 
-	AttemptFences(long rememberMillis, int most) {
-		this.rememberMillis = rememberMillis;
-		this.most = most;
+	AttemptFences(long retentionMillis, int maxJobs) {
+		this.retentionMillis = retentionMillis;
+		this.maxJobs = maxJobs;
 	}
 
 	/**
@@ -32,15 +32,16 @@
 	 * @param now the time
 	 * @param attempt the attempt
 	 */
-	void giveUp(long now, Attempt attempt) {
-		Fence known = this.fences.remove(attempt.job());
-		int number = (known != null) ? Math.max(known.number(), attempt.number()) : attempt.number();
-		this.fences.put(attempt.job(), new Fence(number, now + this.rememberMillis));
+	void fence(long now, Attempt attempt) {
+		Fence previous = this.fences.remove(attempt.job());
+		int attemptNumber = (previous != null) ? Math.max(previous.attemptNumber(), attempt.number())
+				: attempt.number();
+		this.fences.put(attempt.job(), new Fence(attemptNumber, now + this.retentionMillis));
 	}
 
-	boolean isGivenUp(Attempt attempt) {
+	boolean isFenced(Attempt attempt) {
 		Fence fence = this.fences.get(attempt.job());
-		return fence != null && attempt.number() <= fence.number();
+		return fence != null && attempt.number() <= fence.attemptNumber();
 	}
 
 	/**
@@ -48,18 +49,18 @@
 	 * forgotten.
 	 * @return false when the memory is full
 	 */
-	boolean hasRoom() {
-		return this.fences.size() < this.most;
+	boolean hasCapacity() {
+		return this.fences.size() < this.maxJobs;
 	}
 
 	void expire(long now) {
 		Iterator<Fence> oldestFirst = this.fences.values().iterator();
-		while (oldestFirst.hasNext() && oldestFirst.next().until() <= now) {
+		while (oldestFirst.hasNext() && oldestFirst.next().expiresAtMillis() <= now) {
 			oldestFirst.remove();
 		}
 	}
 
-	private record Fence(int number, long until) {
+	private record Fence(int attemptNumber, long expiresAtMillis) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/gang/impl/DefaultMemberKeeper.java
+++ b/core/src/main/java/org/almondmount/gang/impl/DefaultMemberManager.java
@@ -9,7 +9,7 @@
 import org.almondmount.gang.HeldMember;
 import org.almondmount.gang.MemberCommand;
 import org.almondmount.gang.MemberEvent;
-import org.almondmount.gang.MemberKeeper;
+import org.almondmount.gang.MemberManager;
 import org.almondmount.gang.MemberPolicy;
 import org.almondmount.gang.impl.MemberRecord.Phase;
 import org.almondmount.jobs.Attempt;
@@ -24,9 +24,9 @@
  * its leases, holds and view of the zone have run out before it acts on anything that
  * waited in its sockets.
  */
-public final class DefaultMemberKeeper implements MemberKeeper {
+public final class DefaultMemberManager implements MemberManager {
 
-	private static final int REPORTS_BEFORE_LEAVING = 3;
+	private static final int MIN_END_REPORTS_BEFORE_DRAINED = 3;
 
 	private final MemberPolicy policy;
 
@@ -34,11 +34,11 @@
 
 	private final AttemptFences fences;
 
-	private final ForgottenAttempts forgotten;
+	private final RecordedAttempts recordedAttempts;
 
 	private final ZoneView zone = new ZoneView();
 
-	private long epoch;
+	private long highestEpoch;
 
 	private boolean draining;
 
@@ -46,80 +46,80 @@
 
 	private List<MemberCommand> commands = new ArrayList<>();
 
-	public DefaultMemberKeeper(MemberPolicy policy) {
+	public DefaultMemberManager(MemberPolicy policy) {
 		this.policy = policy;
-		this.fences = new AttemptFences(policy.rememberAttempts().toMillis(), policy.rememberAtMost());
-		this.forgotten = new ForgottenAttempts(policy.rememberAtMost());
+		this.fences = new AttemptFences(policy.fenceRetention().toMillis(), policy.maxFencedJobs());
+		this.recordedAttempts = new RecordedAttempts(policy.maxFencedJobs());
 	}
 
 	@Override
-	public List<HeldMember> held() {
+	public List<HeldMember> heldMembers() {
 		List<HeldMember> held = new ArrayList<>();
 		for (MemberRecord member : this.members.values()) {
-			member.held().ifPresent(held::add);
+			member.toHeldMember().ifPresent(held::add);
 		}
 		return held;
 	}
 
 	@Override
-	public long epoch() {
-		return this.epoch;
+	public long highestEpoch() {
+		return this.highestEpoch;
 	}
 
 	@Override
 	public List<MemberCommand> handle(long now, MemberEvent event) {
 		this.commands = new ArrayList<>();
-		passTime(now);
-		take(now, event);
+		processTimers(now);
+		dispatch(now, event);
 		announceDrained();
 		return this.commands;
 	}
 
-	private void take(long now, MemberEvent event) {
+	private void dispatch(long now, MemberEvent event) {
 		if (event instanceof MemberEvent.PrepareReceived prepare) {
 			prepare(now, prepare);
 		}
-		else if (event instanceof MemberEvent.StartReceived start && accepts(start.epoch())) {
-			start(now, start.attempt(), start.member());
+		else if (event instanceof MemberEvent.StartReceived start && acceptsEpoch(start.epoch())) {
+			startMember(now, start.attempt(), start.member());
 		}
-		else if (event instanceof MemberEvent.AbortReceived abort && accepts(abort.epoch())) {
-			abort(now, abort.attempt(), abort.member());
+		else if (event instanceof MemberEvent.AbortReceived abort && acceptsEpoch(abort.epoch())) {
+			abortMember(now, abort.attempt(), abort.member());
 		}
-		else if (event instanceof MemberEvent.SuspendReceived suspend && accepts(suspend.epoch())) {
-			suspendOrdered(now, suspend.attempt(), suspend.member());
+		else if (event instanceof MemberEvent.SuspendReceived suspend && acceptsEpoch(suspend.epoch())) {
+			suspendMember(now, suspend.attempt(), suspend.member());
 		}
-		else if (event instanceof MemberEvent.StopReceived stop && accepts(stop.epoch())) {
-			abort(now, stop.attempt(), stop.member());
+		else if (event instanceof MemberEvent.StopReceived stop && acceptsEpoch(stop.epoch())) {
+			abortMember(now, stop.attempt(), stop.member());
 		}
-		else if (event instanceof MemberEvent.ThrottleReceived throttle && accepts(throttle.epoch())) {
-			throttle(throttle.attempt(), throttle.member());
+		else if (event instanceof MemberEvent.ThrottleReceived throttle && acceptsEpoch(throttle.epoch())) {
+			throttleMember(throttle.attempt(), throttle.member());
 		}
-		else if (event instanceof MemberEvent.WholeHeard whole) {
-			wholeHeard(now - whole.ageMillis(), whole.attempt());
+		else if (event instanceof MemberEvent.GangConfirmedRunning confirmed) {
+			extendGangLease(now - confirmed.heartbeatAgeMillis(), confirmed.attempt());
 		}
-		else if (event instanceof MemberEvent.ZoneHeard heard) {
-			zoneHeard(now, heard);
+		else if (event instanceof MemberEvent.ZoneStateReceived received) {
+			updateZone(now, received);
 		}
-		else if (event instanceof MemberEvent.Forgotten over) {
-			forget(now, over.attempt());
+		else if (event instanceof MemberEvent.EndRecorded recorded) {
+			handleEndRecorded(now, recorded.attempt());
 		}
-		else if (event instanceof MemberEvent.Draining) {
-			drain(now);
+		else if (event instanceof MemberEvent.DrainRequested) {
+			startDrain(now);
 		}
 		else {
-			takeFromWorker(now, event);
+			dispatchWorkerEvent(now, event);
 		}
 	}
 
-	private void takeFromWorker(long now, MemberEvent event) {
+	private void dispatchWorkerEvent(long now, MemberEvent event) {
 		if (event instanceof MemberEvent.TaskRunning running) {
-			taskRunning(now, running.attempt(), running.member());
+			handleTaskRunning(now, running.attempt(), running.member());
 		}
 		else if (event instanceof MemberEvent.TaskCheckpointed checkpointed) {
 			this.commands.add(new MemberCommand.ReportCheckpointed(checkpointed.attempt(), checkpointed.member()));
 		}
 		else if (event instanceof MemberEvent.TaskEnded ended) {
-			taskEnded(now, ended);
+			handleTaskEnded(now, ended);
 		}
 		else if (event instanceof MemberEvent.TaskUsage usage) {
 			this.commands.add(new MemberCommand.ReportUsage(usage.attempt(), usage.member(), usage.used()));
@@ -128,60 +128,60 @@
 
 	// A holder that was paused past its lease goes on with what it was about to send. Its
 	// epoch is lower than its successor's, whose orders have been seen here.
-	private boolean accepts(long orderEpoch) {
-		if (orderEpoch < this.epoch) {
+	private boolean acceptsEpoch(long orderEpoch) {
+		if (orderEpoch < this.highestEpoch) {
 			return false;
 		}
-		this.epoch = orderEpoch;
+		this.highestEpoch = orderEpoch;
 		return true;
 	}
 
 	private void prepare(long now, MemberEvent.PrepareReceived prepare) {
-		if (!accepts(prepare.epoch())) {
+		if (!acceptsEpoch(prepare.epoch())) {
 			return;
 		}
 		Attempt attempt = prepare.attempt();
-		MemberRecord known = this.members.get(new MemberKey(attempt, prepare.member()));
-		if (known != null) {
-			prepareAgain(now, known);
+		MemberRecord existing = this.members.get(new MemberKey(attempt, prepare.member()));
+		if (existing != null) {
+			repeatPrepare(now, existing);
 			return;
 		}
-		fenceOlder(now, attempt);
-		Optional<String> refusal = refusal(attempt, prepare.spec());
+		fenceEarlierAttempts(now, attempt);
+		Optional<String> refusal = refusalReason(attempt, prepare.spec());
 		if (refusal.isPresent()) {
 			this.commands.add(new MemberCommand.ReportRefused(attempt, prepare.member(), refusal.get()));
 			return;
 		}
 		MemberRecord member = new MemberRecord(attempt, prepare.member(), Optional.of(prepare.spec()),
 				prepare.fromCheckpoint());
-		member.enter(now, Phase.HELD, now + this.policy.prepareHold().toMillis());
+		member.enterPhase(now, Phase.HELD, now + this.policy.prepareHold().toMillis());
 		this.members.put(new MemberKey(attempt, prepare.member()), member);
-		report(now, member);
+		sendReport(now, member);
 	}
 
-	private void prepareAgain(long now, MemberRecord known) {
-		if (known.phase() == Phase.HELD) {
-			known.extend(now + this.policy.prepareHold().toMillis());
+	private void repeatPrepare(long now, MemberRecord existing) {
+		if (existing.phase() == Phase.HELD) {
+			existing.extendDeadline(now + this.policy.prepareHold().toMillis());
 		}
-		report(now, known);
+		sendReport(now, existing);
 	}
 
-	private Optional<String> refusal(Attempt attempt, JobSpec spec) {
+	private Optional<String> refusalReason(Attempt attempt, JobSpec spec) {
 		if (this.draining) {
 			return Optional.of("the worker is leaving");
 		}
-		if (this.fences.isGivenUp(attempt)) {
+		if (this.fences.isFenced(attempt)) {
 			return Optional.of("the attempt or a later one was given up before");
 		}
 		if (this.zone.isOut()) {
 			return Optional.of("the zone is out of service");
 		}
-		if (!this.fences.hasRoom()) {
+		if (!this.fences.hasCapacity()) {
 			return Optional.of("the worker's memory of given-up attempts is full");
 		}
 		Resources used = spec.shape().perMember();
 		for (MemberRecord member : this.members.values()) {
-			if (!member.usesRoom()) {
+			if (!member.usesCapacity()) {
 				continue;
 			}
 			if (member.spec().isEmpty()) {
@@ -196,49 +196,49 @@
 	}
 
 	// Two attempts of one job side by side would run it twice.
-	private void fenceOlder(long now, Attempt attempt) {
+	private void fenceEarlierAttempts(long now, Attempt attempt) {
 		for (MemberRecord member : List.copyOf(this.members.values())) {
-			boolean older = member.attempt().job().equals(attempt.job())
+			boolean earlier = member.attempt().job().equals(attempt.job())
 					&& member.attempt().number() < attempt.number();
-			if (older) {
-				this.fences.giveUp(now, member.attempt());
+			if (earlier) {
+				this.fences.fence(now, member.attempt());
 				release(now, member, "a later attempt takes its place");
 			}
 		}
 	}
 
-	private void start(long now, Attempt attempt, int number) {
+	private void startMember(long now, Attempt attempt, int number) {
 		MemberRecord member = this.members.get(new MemberKey(attempt, number));
 		if (member == null) {
-			this.fences.giveUp(now, attempt);
+			this.fences.fence(now, attempt);
 			this.commands.add(new MemberCommand.ReportRefused(attempt, number, "it is not held"));
 			return;
 		}
 		if (member.phase() != Phase.HELD) {
-			report(now, member);
+			sendReport(now, member);
 			return;
 		}
 		if (!this.zone.allowsStart(now)) {
-			this.fences.giveUp(now, attempt);
+			this.fences.fence(now, attempt);
 			release(now, member, "the zone is out of service or its state is not known freshly enough");
 			return;
 		}
-		member.enter(now, Phase.STARTING, now + this.policy.gangTimeout().toMillis());
-		member.renewNext(now + this.policy.renewEvery().toMillis());
+		member.enterPhase(now, Phase.STARTING, now + this.policy.gangTimeout().toMillis());
+		member.scheduleRenewal(now + this.policy.renewalInterval().toMillis());
 		this.commands
 			.add(new MemberCommand.StartTask(attempt, number, member.spec().orElseThrow(), member.fromCheckpoint()));
 	}
 
-	private void abort(long now, Attempt attempt, int number) {
-		this.fences.giveUp(now, attempt);
+	private void abortMember(long now, Attempt attempt, int number) {
+		this.fences.fence(now, attempt);
 		MemberRecord member = this.members.get(new MemberKey(attempt, number));
 		if (member != null) {
 			release(now, member, "it was aborted");
 		}
 	}
 
-	private void suspendOrdered(long now, Attempt attempt, int number) {
-		this.fences.giveUp(now, attempt);
+	private void suspendMember(long now, Attempt attempt, int number) {
+		this.fences.fence(now, attempt);
 		MemberRecord member = this.members.get(new MemberKey(attempt, number));
 		if (member == null) {
 			return;
@@ -250,37 +250,37 @@
 		suspend(now, member);
 	}
 
-	private void throttle(Attempt attempt, int number) {
+	private void throttleMember(Attempt attempt, int number) {
 		MemberRecord member = this.members.get(new MemberKey(attempt, number));
 		if (member != null && member.phase() == Phase.RUNNING) {
 			this.commands.add(new MemberCommand.ThrottleTask(attempt, number));
 		}
 	}
 
-	private void wholeHeard(long at, Attempt attempt) {
+	private void extendGangLease(long heartbeatSentAt, Attempt attempt) {
 		for (MemberRecord member : this.members.values()) {
-			boolean runs = member.phase() == Phase.STARTING || member.phase() == Phase.RUNNING;
-			if (runs && member.attempt().equals(attempt)) {
-				member.extend(at + this.policy.gangTimeout().toMillis());
+			boolean running = member.phase() == Phase.STARTING || member.phase() == Phase.RUNNING;
+			if (running && member.attempt().equals(attempt)) {
+				member.extendDeadline(heartbeatSentAt + this.policy.gangTimeout().toMillis());
 			}
 		}
 	}
 
-	private void zoneHeard(long now, MemberEvent.ZoneHeard heard) {
-		this.zone.hear(now, heard.state(), heard.revision(), heard.freshForMillis());
+	private void updateZone(long now, MemberEvent.ZoneStateReceived received) {
+		this.zone.update(now, received.state(), received.revision(), received.validForMillis());
 		if (!this.zone.isOut()) {
 			return;
 		}
 		for (MemberRecord member : List.copyOf(this.members.values())) {
 			if (member.phase() == Phase.HELD) {
-				this.fences.giveUp(now, member.attempt());
+				this.fences.fence(now, member.attempt());
 				release(now, member, "the zone went out of service");
 			}
 		}
 	}
 
-	private void forget(long now, Attempt attempt) {
-		this.forgotten.add(attempt);
+	private void handleEndRecorded(long now, Attempt attempt) {
+		this.recordedAttempts.add(attempt);
 		for (MemberRecord member : List.copyOf(this.members.values())) {
 			if (!member.attempt().equals(attempt)) {
 				continue;
@@ -290,35 +290,35 @@
 				continue;
 			}
 			// Its end is on record, so whatever of it is left here must not go on.
-			this.fences.giveUp(now, attempt);
+			this.fences.fence(now, attempt);
 			release(now, member, "its attempt is over");
 		}
 	}
 
-	private void drain(long now) {
+	private void startDrain(long now) {
 		this.draining = true;
 		for (MemberRecord member : List.copyOf(this.members.values())) {
 			if (member.phase() == Phase.HELD) {
-				this.fences.giveUp(now, member.attempt());
+				this.fences.fence(now, member.attempt());
 				release(now, member, "the worker is leaving");
 			}
-			else if (member.checkpoints()) {
+			else if (member.canCheckpoint()) {
 				suspend(now, member);
 			}
 		}
 	}
 
-	private void taskRunning(long now, Attempt attempt, int number) {
+	private void handleTaskRunning(long now, Attempt attempt, int number) {
 		MemberKey key = new MemberKey(attempt, number);
 		MemberRecord member = this.members.get(key);
 		if (member == null) {
-			adopt(now, attempt, number);
+			suspendUnknownTask(now, attempt, number);
 			return;
 		}
 		if (member.phase() == Phase.STARTING) {
-			long lease = member.deadline();
-			member.enter(now, Phase.RUNNING, lease);
-			report(now, member);
+			long gangLeaseEnd = member.deadline();
+			member.enterPhase(now, Phase.RUNNING, gangLeaseEnd);
+			sendReport(now, member);
 		}
 		else if (member.phase() == Phase.ENDED || member.phase() == Phase.HELD) {
 			this.commands.add(new MemberCommand.StopTask(attempt, number));
@@ -328,16 +328,16 @@
 	// This process was replaced while the task ran. Whether its gang is whole and what
 	// the task needs is not known here, so that the task is checkpointed and ended; its
 	// report has the job placed again from there.
-	private void adopt(long now, Attempt attempt, int number) {
-		MemberRecord found = new MemberRecord(attempt, number, Optional.empty(), false);
-		found.enter(now, Phase.RUNNING, now);
-		this.fences.giveUp(now, attempt);
-		this.members.put(new MemberKey(attempt, number), found);
-		suspend(now, found);
+	private void suspendUnknownTask(long now, Attempt attempt, int number) {
+		MemberRecord member = new MemberRecord(attempt, number, Optional.empty(), false);
+		member.enterPhase(now, Phase.RUNNING, now);
+		this.fences.fence(now, attempt);
+		this.members.put(new MemberKey(attempt, number), member);
+		suspend(now, member);
 	}
 
-	private void taskEnded(long now, MemberEvent.TaskEnded ended) {
-		if (this.forgotten.contains(ended.attempt())) {
+	private void handleTaskEnded(long now, MemberEvent.TaskEnded ended) {
+		if (this.recordedAttempts.contains(ended.attempt())) {
 			this.members.remove(new MemberKey(ended.attempt(), ended.member()));
 			return;
 		}
@@ -347,58 +347,58 @@
 		if (member.phase() == Phase.ENDED) {
 			return;
 		}
-		member.end(now, ended.ending());
-		report(now, member);
+		member.recordEnd(now, ended.outcome());
+		sendReport(now, member);
 	}
 
-	private void passTime(long now) {
+	private void processTimers(long now) {
 		this.fences.expire(now);
 		for (MemberRecord member : List.copyOf(this.members.values())) {
 			if (now >= member.deadline()) {
-				runOut(now, member);
+				handleDeadline(now, member);
 			}
-			renew(now, member);
-			if (now >= member.reportAt()) {
-				report(now, member);
+			renewIfDue(now, member);
+			if (now >= member.nextReportAt()) {
+				sendReport(now, member);
 			}
 		}
 	}
 
-	private void runOut(long now, MemberRecord member) {
+	private void handleDeadline(long now, MemberRecord member) {
 		switch (member.phase()) {
 			case HELD -> {
-				this.fences.giveUp(now, member.attempt());
+				this.fences.fence(now, member.attempt());
 				release(now, member, "the time for which it was held ran out");
 			}
 			case STARTING, RUNNING -> {
-				this.fences.giveUp(now, member.attempt());
+				this.fences.fence(now, member.attempt());
 				suspend(now, member);
 			}
 			case SUSPENDING -> stop(now, member);
 			case STOPPING -> {
 				// The worker says nothing of it, and its lease ran out long ago without a
 				// renewal.
-				member.end(now, Ending.UNKNOWN);
-				report(now, member);
+				member.recordEnd(now, Ending.UNKNOWN);
+				sendReport(now, member);
 			}
 			case ENDED -> {
 			}
 		}
 	}
 
-	private void renew(long now, MemberRecord member) {
-		boolean alive = member.phase() == Phase.STARTING || member.phase() == Phase.RUNNING
+	private void renewIfDue(long now, MemberRecord member) {
+		boolean leaseNeeded = member.phase() == Phase.STARTING || member.phase() == Phase.RUNNING
 				|| member.phase() == Phase.SUSPENDING;
-		if (alive && now >= member.renewAt()) {
-			member.renewNext(now + this.policy.renewEvery().toMillis());
+		if (leaseNeeded && now >= member.nextRenewalAt()) {
+			member.scheduleRenewal(now + this.policy.renewalInterval().toMillis());
 			this.commands.add(new MemberCommand.RenewTask(member.attempt(), member.member()));
 		}
 	}
 
-	private void release(long now, MemberRecord member, String why) {
+	private void release(long now, MemberRecord member, String reason) {
 		if (member.phase() == Phase.HELD) {
 			this.members.remove(new MemberKey(member.attempt(), member.member()));
-			this.commands.add(new MemberCommand.ReportRefused(member.attempt(), member.member(), why));
+			this.commands.add(new MemberCommand.ReportRefused(member.attempt(), member.member(), reason));
 			return;
 		}
 		if (member.phase() != Phase.ENDED) {
@@ -407,31 +407,31 @@
 	}
 
 	private void suspend(long now, MemberRecord member) {
-		boolean runs = member.phase() == Phase.STARTING || member.phase() == Phase.RUNNING;
-		if (!runs) {
+		boolean running = member.phase() == Phase.STARTING || member.phase() == Phase.RUNNING;
+		if (!running) {
 			return;
 		}
-		if (!member.checkpoints()) {
+		if (!member.canCheckpoint()) {
 			stop(now, member);
 			return;
 		}
-		member.enter(now, Phase.SUSPENDING, now + this.policy.suspendLimit().toMillis());
+		member.enterPhase(now, Phase.SUSPENDING, now + this.policy.suspendTimeout().toMillis());
 		this.commands.add(new MemberCommand.SuspendTask(member.attempt(), member.member()));
-		member.reportNext(now + this.policy.reportEvery().toMillis());
+		member.scheduleReport(now + this.policy.reportInterval().toMillis());
 	}
 
 	private void stop(long now, MemberRecord member) {
 		if (member.phase() == Phase.STOPPING) {
 			return;
 		}
-		member.enter(now, Phase.STOPPING, now + 2 * this.policy.taskLease().toMillis());
-		report(now, member);
+		member.enterPhase(now, Phase.STOPPING, now + 2 * this.policy.taskLease().toMillis());
+		sendReport(now, member);
 	}
 
 	// An order or report can be lost on the way; repeating it until the next phase is
 	// enough because each is harmless twice.
-	private void report(long now, MemberRecord member) {
-		member.reportNext(now + this.policy.reportEvery().toMillis());
+	private void sendReport(long now, MemberRecord member) {
+		member.scheduleReport(now + this.policy.reportInterval().toMillis());
 		Attempt attempt = member.attempt();
 		int number = member.member();
 		switch (member.phase()) {
@@ -440,15 +440,15 @@
 			}
 			case RUNNING -> {
 				this.commands.add(new MemberCommand.ReportStarted(attempt, number));
-				if (now - member.phaseBegan() >= this.policy.repeatStartedFor().toMillis()) {
-					member.reportNext(Long.MAX_VALUE);
+				if (now - member.phaseStartedAt() >= this.policy.startedReportPeriod().toMillis()) {
+					member.scheduleReport(Long.MAX_VALUE);
 				}
 			}
 			case SUSPENDING -> this.commands.add(new MemberCommand.SuspendTask(attempt, number));
 			case STOPPING -> this.commands.add(new MemberCommand.StopTask(attempt, number));
 			case ENDED -> {
 				member.countEndReport();
-				this.commands.add(new MemberCommand.ReportEnded(attempt, number, member.ending()));
+				this.commands.add(new MemberCommand.ReportEnded(attempt, number, member.outcome()));
 			}
 		}
 	}
@@ -458,7 +458,7 @@
 			return;
 		}
 		for (MemberRecord member : this.members.values()) {
-			if (member.phase() != Phase.ENDED || member.endReports() < REPORTS_BEFORE_LEAVING) {
+			if (member.phase() != Phase.ENDED || member.endReportCount() < MIN_END_REPORTS_BEFORE_DRAINED) {
 				return;
 			}
 		}
--- a/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
@@ -22,17 +22,17 @@
 
 	private Phase phase;
 
-	private Ending ending;
+	private Ending outcome;
 
 	private long deadline;
 
-	private long renewAt;
+	private long nextRenewalAt;
 
-	private long reportAt;
+	private long nextReportAt;
 
-	private long phaseBegan;
+	private long phaseStartedAt;
 
-	private int endReports;
+	private int endReportCount;
 
 	MemberRecord(Attempt attempt, int member, Optional<JobSpec> spec, boolean fromCheckpoint) {
 		this.attempt = attempt;
@@ -69,73 +69,74 @@
 	 * Enters a phase.
 	 * @param now the time
 	 * @param newPhase the phase
-	 * @param until when it has to be left again
+	 * @param newDeadline when it has to be left again
 	 */
-	void enter(long now, Phase newPhase, long until) {
+	void enterPhase(long now, Phase newPhase, long newDeadline) {
 		this.phase = newPhase;
-		this.phaseBegan = now;
-		this.deadline = until;
-		this.reportAt = now;
+		this.phaseStartedAt = now;
+		this.deadline = newDeadline;
+		this.nextReportAt = now;
 	}
 
-	long phaseBegan() {
-		return this.phaseBegan;
+	long phaseStartedAt() {
+		return this.phaseStartedAt;
 	}
 
 	long deadline() {
 		return this.deadline;
 	}
 
-	void extend(long until) {
-		this.deadline = Math.max(this.deadline, until);
+	void extendDeadline(long newDeadline) {
+		this.deadline = Math.max(this.deadline, newDeadline);
 	}
 
-	long renewAt() {
-		return this.renewAt;
+	long nextRenewalAt() {
+		return this.nextRenewalAt;
 	}
 
-	void renewNext(long at) {
-		this.renewAt = at;
+	void scheduleRenewal(long at) {
+		this.nextRenewalAt = at;
 	}
 
-	long reportAt() {
-		return this.reportAt;
+	long nextReportAt() {
+		return this.nextReportAt;
 	}
 
-	void reportNext(long at) {
-		this.reportAt = at;
+	void scheduleReport(long at) {
+		this.nextReportAt = at;
 	}
 
-	Ending ending() {
-		return this.ending;
+	Ending outcome() {
+		return this.outcome;
 	}
 
-	void end(long now, Ending how) {
-		this.ending = how;
-		enter(now, Phase.ENDED, Long.MAX_VALUE);
+	void recordEnd(long now, Ending newOutcome) {
+		this.outcome = newOutcome;
+		enterPhase(now, Phase.ENDED, Long.MAX_VALUE);
 	}
 
-	int endReports() {
-		return this.endReports;
+	int endReportCount() {
+		return this.endReportCount;
 	}
 
 	void countEndReport() {
-		this.endReports++;
+		this.endReportCount++;
 	}
 
-	boolean usesRoom() {
+	boolean usesCapacity() {
 		return this.phase != Phase.ENDED;
 	}
 
-	boolean checkpoints() {
+	boolean canCheckpoint() {
 		return this.spec.isEmpty() || this.spec.get().checkpoints();
 	}
 
-	Optional<HeldMember> held() {
+	Optional<HeldMember> toHeldMember() {
 		if (this.spec.isEmpty()) {
 			return Optional.empty();
 		}
-		boolean running = this.phase == Phase.RUNNING || (this.phase == Phase.ENDED && this.ending == Ending.SUCCEEDED);
+		boolean running = this.phase == Phase.RUNNING
+				|| (this.phase == Phase.ENDED && this.outcome == Ending.SUCCEEDED);
 		if (!running && this.phase != Phase.HELD && this.phase != Phase.STARTING) {
 			return Optional.empty();
 		}
--- a/core/src/main/java/org/almondmount/gang/impl/ZoneView.java
+++ b/core/src/main/java/org/almondmount/gang/impl/ZoneView.java
@@ -12,27 +12,27 @@
 
 	private long revision = -1;
 
-	private long freshUntil = Long.MIN_VALUE;
+	private long validUntil = Long.MIN_VALUE;
 
 	/**
 	 * Takes what an entry said; an entry that is behind says nothing of use, neither
 	 * about the state nor about its freshness.
 	 * @param now the time
-	 * @param heard the state
-	 * @param heardRevision the revision at which it was declared
-	 * @param freshFor how much longer it may be used to start work, in milliseconds
+	 * @param newState the state
+	 * @param newRevision the revision at which it was declared
+	 * @param validForMillis how much longer it may be used to start work, in milliseconds
 	 */
-	void hear(long now, ZoneState heard, long heardRevision, long freshFor) {
-		if (heardRevision < this.revision) {
+	void update(long now, ZoneState newState, long newRevision, long validForMillis) {
+		if (newRevision < this.revision) {
 			return;
 		}
-		if (heardRevision > this.revision) {
-			this.freshUntil = Long.MIN_VALUE;
+		if (newRevision > this.revision) {
+			this.validUntil = Long.MIN_VALUE;
 		}
-		this.state = heard;
-		this.revision = heardRevision;
-		if (freshFor > 0) {
-			this.freshUntil = Math.max(this.freshUntil, now + freshFor);
+		this.state = newState;
+		this.revision = newRevision;
+		if (validForMillis > 0) {
+			this.validUntil = Math.max(this.validUntil, now + validForMillis);
 		}
 	}
 
@@ -41,7 +41,7 @@
 	}
 
 	boolean allowsStart(long now) {
-		return this.state.acceptsWork() && now < this.freshUntil;
+		return this.state.acceptsWork() && now < this.validUntil;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/lease/LeaseCommand.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseCommand.java
@@ -19,12 +19,12 @@
 	 * Write the row on the condition that it is at that version; answer with
 	 * {@link LeaseEvent.CommitEnded}.
 	 *
-	 * @param commit matches the answer
+	 * @param commitNumber matches the answer
 	 * @param row the new row
 	 * @param expectedVersion the version, 0 for no row
 	 * @param takeover whether the epoch is new with it
 	 */
-	record Commit(long commit, LeaseRow row, long expectedVersion, boolean takeover) implements LeaseCommand {
+	record Commit(long commitNumber, LeaseRow row, long expectedVersion, boolean takeover) implements LeaseCommand {
 	}
 
 	/** This entry holds the lease from now on, under a new epoch. */
@@ -32,7 +32,7 @@
 	}
 
 	/** This entry no longer holds the lease and may do nothing under that epoch. */
-	record SteppedDown(long epoch, String why) implements LeaseCommand {
+	record SteppedDown(long epoch, String reason) implements LeaseCommand {
 	}
 
 	/** Another entry is seen to hold the lease. */
@@ -43,7 +43,7 @@
 	record Released() implements LeaseCommand {
 	}
 
-	/** Send {@link LeaseEvent.TimePassed} at this time at the latest. */
+	/** Send {@link LeaseEvent.Tick} at this time at the latest. */
 	record WakeAt(long atMillis) implements LeaseCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/lease/LeaseEvent.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseEvent.java
@@ -21,7 +21,7 @@
 	}
 
 	/** A commit came to its end, as far as this entry can tell. */
-	record CommitEnded(long commit, Ending ending) implements LeaseEvent {
+	record CommitEnded(long commitNumber, CommitOutcome outcome) implements LeaseEvent {
 	}
 
 	/** Give the lease up if it is held, and never take it again. */
@@ -29,13 +29,13 @@
 	}
 
 	/** The moment asked for by {@link LeaseCommand.WakeAt}, or any regular tick. */
-	record TimePassed() implements LeaseEvent {
+	record Tick() implements LeaseEvent {
 	}
 
 	/**
 	 * How a commit ended.
 	 */
-	enum Ending {
+	enum CommitOutcome {
 
 		/** It took effect. */
 		COMMITTED,
--- a/core/src/main/java/org/almondmount/lease/LeaseKeeper.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseManager.java
@@ -7,10 +7,10 @@
  * thread-safe: one duty owns it. Times are milliseconds of the driver's own monotonic
  * clock; clocks of two processes are never compared.
  */
-public interface LeaseKeeper {
+public interface LeaseManager {
 
-	/** The value of {@link #mayActUntilMillis()} while the lease is not held. */
-	long NEVER = Long.MIN_VALUE;
+	/** The value of {@link #validUntilMillis()} while the lease is not held. */
+	long NOT_HELD = Long.MIN_VALUE;
 
 	/**
 	 * Takes one event.
@@ -24,9 +24,9 @@
 	 * Until when this entry may act as holder. A driver compares it with its clock right
 	 * before each effect: a process that was paused finds out so, because no event has
 	 * told it yet.
-	 * @return a time of the driver's clock, or {@link #NEVER}
+	 * @return a time of the driver's clock, or {@link #NOT_HELD}
 	 */
-	long mayActUntilMillis();
+	long validUntilMillis();
 
 	/**
 	 * The epoch under which this entry holds the lease.
--- a/core/src/main/java/org/almondmount/lease/LeaseSettings.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseSettings.java
@@ -8,21 +8,21 @@
  *
  * @param self this run of this entry; never used by another run
  * @param address where this entry accepts peers
- * @param lengthMillis the lease's length, at least {@value #SHORTEST_MILLIS}
+ * @param lengthMillis the lease's length, at least {@value #MIN_LENGTH_MILLIS}
  */
 public record LeaseSettings(EntryId self, String address, long lengthMillis) {
 
 	/** The shortest lease that leaves room for a renewal. */
-	public static final long SHORTEST_MILLIS = 200;
+	public static final long MIN_LENGTH_MILLIS = 200;
 
-	private static final int RENEWALS_A_LENGTH = 4;
+	private static final int RENEWALS_PER_LENGTH = 4;
 
-	private static final int MARGIN_PARTS = 8;
+	private static final int CLOCK_MARGIN_DIVISOR = 8;
 
 	public LeaseSettings {
-		if (lengthMillis < SHORTEST_MILLIS) {
+		if (lengthMillis < MIN_LENGTH_MILLIS) {
 			throw new InvalidValueException("lengthMillis",
-					"is " + lengthMillis + "; give at least " + SHORTEST_MILLIS);
+					"is " + lengthMillis + "; give at least " + MIN_LENGTH_MILLIS);
 		}
 	}
 
@@ -30,8 +30,8 @@
 	 * The interval between renewals, and between an observer's reads.
 	 * @return milliseconds
 	 */
-	public long renewEveryMillis() {
-		return this.lengthMillis / RENEWALS_A_LENGTH;
+	public long renewalIntervalMillis() {
+		return this.lengthMillis / RENEWALS_PER_LENGTH;
 	}
 
 	/**
@@ -41,7 +41,7 @@
 	 * @return milliseconds
 	 */
 	public long validForMillis() {
-		return this.lengthMillis - this.lengthMillis / MARGIN_PARTS;
+		return this.lengthMillis - this.lengthMillis / CLOCK_MARGIN_DIVISOR;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/lease/impl/ObservedLeaseKeeper.java
+++ b/core/src/main/java/org/almondmount/lease/impl/ObservedLeaseManager.java
@@ -8,7 +8,7 @@
 
 import org.almondmount.lease.LeaseCommand;
 import org.almondmount.lease.LeaseEvent;
-import org.almondmount.lease.LeaseKeeper;
+import org.almondmount.lease.LeaseManager;
 import org.almondmount.lease.LeaseRow;
 import org.almondmount.lease.LeaseSettings;
 
@@ -22,17 +22,17 @@
  * row is still the same. A commit whose ending is unknown grants nothing until the row is
  * read with that commit's number in it.
  */
-public final class ObservedLeaseKeeper implements LeaseKeeper {
+public final class ObservedLeaseManager implements LeaseManager {
 
-	private static final int REMEMBERED_COMMITS = 32;
+	private static final int MAX_REMEMBERED_COMMITS = 32;
 
 	private final LeaseSettings settings;
 
-	private final Map<Long, Long> sentAt = new LinkedHashMap<>();
+	private final Map<Long, Long> commitSentAt = new LinkedHashMap<>();
 
-	private long lastCommit;
+	private long lastCommitNumber;
 
-	private boolean outstanding;
+	private boolean requestOutstanding;
 
 	private boolean versionKnown;
 
@@ -46,11 +46,11 @@
 
 	private long lastHeldEpoch;
 
-	private long validUntil = NEVER;
+	private long validUntil = NOT_HELD;
 
-	private long nextDue = Long.MIN_VALUE;
+	private long nextRequestAt = Long.MIN_VALUE;
 
-	private long takeoverDue = Long.MIN_VALUE;
+	private long earliestTakeoverAt = Long.MIN_VALUE;
 
 	private boolean releasing;
 
@@ -58,13 +58,13 @@
 
 	private List<LeaseCommand> commands = new ArrayList<>();
 
-	public ObservedLeaseKeeper(LeaseSettings settings) {
+	public ObservedLeaseManager(LeaseSettings settings) {
 		this.settings = settings;
 	}
 
 	@Override
-	public long mayActUntilMillis() {
-		return (this.epoch != 0) ? this.validUntil : NEVER;
+	public long validUntilMillis() {
+		return (this.epoch != 0) ? this.validUntil : NOT_HELD;
 	}
 
 	@Override
@@ -75,37 +75,37 @@
 	@Override
 	public List<LeaseCommand> handle(long nowMillis, LeaseEvent event) {
 		this.commands = new ArrayList<>();
-		lapse(nowMillis);
+		stepDownIfExpired(nowMillis);
 		if (event instanceof LeaseEvent.RowRead read) {
-			this.outstanding = false;
-			observe(nowMillis, read);
+			this.requestOutstanding = false;
+			observeRow(nowMillis, read);
 		}
 		else if (event instanceof LeaseEvent.ReadFailed) {
-			this.outstanding = false;
+			this.requestOutstanding = false;
 		}
 		else if (event instanceof LeaseEvent.CommitEnded ended) {
-			commitEnded(nowMillis, ended);
+			handleCommitEnded(nowMillis, ended);
 		}
 		else if (event instanceof LeaseEvent.Release) {
 			this.releasing = true;
 		}
-		proceed(nowMillis);
+		issueCommands(nowMillis);
 		return this.commands;
 	}
 
-	private void lapse(long now) {
+	private void stepDownIfExpired(long now) {
 		if (this.epoch != 0 && now >= this.validUntil) {
 			stepDown("the lease was not renewed in time");
 		}
 	}
 
-	private void stepDown(String why) {
-		this.commands.add(new LeaseCommand.SteppedDown(this.epoch, why));
+	private void stepDown(String reason) {
+		this.commands.add(new LeaseCommand.SteppedDown(this.epoch, reason));
 		this.epoch = 0;
-		this.validUntil = NEVER;
+		this.validUntil = NOT_HELD;
 	}
 
-	private void observe(long now, LeaseEvent.RowRead read) {
+	private void observeRow(long now, LeaseEvent.RowRead read) {
 		boolean changed = read.version() != this.version;
 		this.versionKnown = true;
 		this.version = read.version();
@@ -119,7 +119,7 @@
 		LeaseRow current = this.row.get();
 		if (isOwn(current)) {
 			if (!current.released()) {
-				granted(now, current);
+				applyGrant(now, current);
 			}
 			return;
 		}
@@ -133,82 +133,83 @@
 
 	// The row carries the number of the commit that wrote it, which is how the ending of
 	// a commit with a lost answer is settled.
-	private void granted(long now, LeaseRow own) {
-		Long sent = this.sentAt.get(own.commit());
-		if (sent == null) {
+	private void applyGrant(long now, LeaseRow ownRow) {
+		Long sentAt = this.commitSentAt.get(ownRow.commit());
+		if (sentAt == null) {
 			return;
 		}
-		long until = sent + this.settings.validForMillis();
-		if (this.epoch == own.epoch()) {
-			this.validUntil = Math.max(this.validUntil, until);
+		long grantedUntil = sentAt + this.settings.validForMillis();
+		if (this.epoch == ownRow.epoch()) {
+			this.validUntil = Math.max(this.validUntil, grantedUntil);
 			return;
 		}
-		if (own.epoch() > this.lastHeldEpoch && until > now && !this.releasing) {
-			this.epoch = own.epoch();
+		if (ownRow.epoch() > this.lastHeldEpoch && grantedUntil > now && !this.releasing) {
+			this.epoch = ownRow.epoch();
 			this.lastHeldEpoch = this.epoch;
-			this.validUntil = until;
+			this.validUntil = grantedUntil;
 			this.commands.add(new LeaseCommand.BecameHolder(this.epoch));
 		}
 	}
 
-	private void commitEnded(long now, LeaseEvent.CommitEnded ended) {
-		this.outstanding = false;
+	private void handleCommitEnded(long now, LeaseEvent.CommitEnded ended) {
+		this.requestOutstanding = false;
 		this.versionKnown = false;
-		this.nextDue = now;
-		if (ended.ending() != LeaseEvent.Ending.COMMITTED) {
-			this.takeoverDue = now + this.settings.renewEveryMillis();
+		this.nextRequestAt = now;
+		if (ended.outcome() != LeaseEvent.CommitOutcome.COMMITTED) {
+			this.earliestTakeoverAt = now + this.settings.renewalIntervalMillis();
 			return;
 		}
-		this.row.filter((written) -> written.commit() == ended.commit() && isOwn(written)).ifPresent((written) -> {
-			if (written.released()) {
-				this.released = true;
-			}
-			else {
-				granted(now, written);
-			}
-		});
+		this.row.filter((written) -> written.commit() == ended.commitNumber() && isOwn(written))
+			.ifPresent((written) -> {
+				if (written.released()) {
+					this.released = true;
+				}
+				else {
+					applyGrant(now, written);
+				}
+			});
 	}
 
-	private void proceed(long now) {
-		if (this.released || (this.releasing && this.epoch == 0 && !this.outstanding)) {
+	private void issueCommands(long now) {
+		if (this.released || (this.releasing && this.epoch == 0 && !this.requestOutstanding)) {
 			this.commands.add(new LeaseCommand.Released());
 			this.released = true;
 			return;
 		}
-		if (!this.outstanding) {
-			act(now);
+		if (!this.requestOutstanding) {
+			issueRequest(now);
 		}
-		wake(now);
+		scheduleWake(now);
 	}
 
-	private void act(long now) {
+	private void issueRequest(long now) {
 		if (!this.versionKnown) {
-			if (now >= this.nextDue) {
-				read(now);
+			if (now >= this.nextRequestAt) {
+				sendRead(now);
 			}
 			return;
 		}
 		if (this.releasing) {
-			release(now);
+			commitRelease(now);
 			return;
 		}
 		if (this.epoch != 0) {
-			if (now >= this.nextDue) {
-				commit(now, this.epoch, false);
+			if (now >= this.nextRequestAt) {
+				commitHolding(now, this.epoch, false);
 			}
 			return;
 		}
 		if (mayTakeOver(now)) {
-			commit(now, this.row.map(LeaseRow::epoch).orElse(0L) + 1, true);
+			commitHolding(now, this.row.map(LeaseRow::epoch).orElse(0L) + 1, true);
 			return;
 		}
-		if (now >= this.nextDue) {
-			read(now);
+		if (now >= this.nextRequestAt) {
+			sendRead(now);
 		}
 	}
 
 	private boolean mayTakeOver(long now) {
-		if (now < this.takeoverDue) {
+		if (now < this.earliestTakeoverAt) {
 			return false;
 		}
 		if (this.row.isEmpty()) {
@@ -221,47 +222,47 @@
 		return now - this.unchangedSince >= current.lengthMillis();
 	}
 
-	private void read(long now) {
-		this.outstanding = true;
-		this.nextDue = now + this.settings.renewEveryMillis();
+	private void sendRead(long now) {
+		this.requestOutstanding = true;
+		this.nextRequestAt = now + this.settings.renewalIntervalMillis();
 		this.commands.add(new LeaseCommand.Read());
 	}
 
-	private void commit(long now, long newEpoch, boolean takeover) {
-		send(now, new LeaseRow(this.settings.self(), newEpoch, this.settings.lengthMillis(), ++this.lastCommit,
-				this.settings.address(), false), takeover);
+	private void commitHolding(long now, long newEpoch, boolean takeover) {
+		sendCommit(now, new LeaseRow(this.settings.self(), newEpoch, this.settings.lengthMillis(),
+				++this.lastCommitNumber, this.settings.address(), false), takeover);
 	}
 
 	// What was held is given up before the commit is sent: once it has taken effect,
 	// another entry may act at once.
-	private void release(long now) {
+	private void commitRelease(long now) {
 		long heldEpoch = this.epoch;
 		stepDown("the entry shuts down");
-		send(now, new LeaseRow(this.settings.self(), heldEpoch, this.settings.lengthMillis(), ++this.lastCommit,
-				this.settings.address(), true), false);
+		sendCommit(now, new LeaseRow(this.settings.self(), heldEpoch, this.settings.lengthMillis(),
+				++this.lastCommitNumber, this.settings.address(), true), false);
 	}
 
-	private void send(long now, LeaseRow next, boolean takeover) {
-		this.outstanding = true;
-		this.nextDue = now + this.settings.renewEveryMillis();
-		this.sentAt.put(next.commit(), now);
-		this.sentAt.keySet().removeIf((number) -> number <= next.commit() - REMEMBERED_COMMITS);
+	private void sendCommit(long now, LeaseRow next, boolean takeover) {
+		this.requestOutstanding = true;
+		this.nextRequestAt = now + this.settings.renewalIntervalMillis();
+		this.commitSentAt.put(next.commit(), now);
+		this.commitSentAt.keySet().removeIf((number) -> number <= next.commit() - MAX_REMEMBERED_COMMITS);
 		this.row = Optional.of(next);
 		this.commands.add(new LeaseCommand.Commit(next.commit(), next, this.version, takeover));
 	}
 
-	private void wake(long now) {
-		long at = Math.max(this.nextDue, now + 1);
+	private void scheduleWake(long now) {
+		long wakeAt = Math.max(this.nextRequestAt, now + 1);
 		if (this.epoch != 0) {
-			at = Math.min(at, this.validUntil);
+			wakeAt = Math.min(wakeAt, this.validUntil);
 		}
 		else if (this.versionKnown && this.row.isPresent()) {
-			long takeover = Math.max(this.takeoverDue, this.unchangedSince + this.row.get().lengthMillis());
-			if (takeover > now) {
-				at = Math.min(at, takeover);
+			long takeoverAt = Math.max(this.earliestTakeoverAt, this.unchangedSince + this.row.get().lengthMillis());
+			if (takeoverAt > now) {
+				wakeAt = Math.min(wakeAt, takeoverAt);
 			}
 		}
-		this.commands.add(new LeaseCommand.WakeAt(at));
+		this.commands.add(new LeaseCommand.WakeAt(wakeAt));
 	}
 
 	private boolean isOwn(LeaseRow current) {
--- a/core/src/main/java/org/almondmount/term/TermCommand.java
+++ b/core/src/main/java/org/almondmount/term/TermCommand.java
@@ -7,7 +7,7 @@
 public sealed interface TermCommand {
 
 	/** Read the row. */
-	record Look() implements TermCommand {
+	record Read() implements TermCommand {
 	}
 
 	/**
@@ -15,9 +15,9 @@
 	 *
 	 * @param row the new row
 	 * @param expectedVersion the version, 0 for no row
-	 * @param save the sequence of what is committed with it, 0 for nothing
+	 * @param saveSequence the sequence of what is committed with it, 0 for nothing
 	 */
-	record Commit(TermRow row, long expectedVersion, long save) implements TermCommand {
+	record Commit(TermRow row, long expectedVersion, long saveSequence) implements TermCommand {
 	}
 
 	/** This entry may decide from now on. */
@@ -25,7 +25,7 @@
 	}
 
 	/** This entry may no longer decide. */
-	record Ended(long epoch, String why) implements TermCommand {
+	record Ended(long epoch, String reason) implements TermCommand {
 	}
 
 	/** What was to be committed is committed. */
--- a/core/src/main/java/org/almondmount/term/TermEvent.java
+++ b/core/src/main/java/org/almondmount/term/TermEvent.java
@@ -21,36 +21,36 @@
 	}
 
 	/** A commit took effect; the row is at that version now. */
-	record Committed(long commit, long version) implements TermEvent {
+	record Committed(long commitNumber, long version) implements TermEvent {
 	}
 
 	/** The condition of a commit did not hold. */
-	record Conflict(long commit, Optional<TermRow> row, long version) implements TermEvent {
+	record Conflict(long commitNumber, Optional<TermRow> row, long version) implements TermEvent {
 	}
 
 	/** A commit took no effect and never will. */
-	record Refused(long commit) implements TermEvent {
+	record CommitRefused(long commitNumber) implements TermEvent {
 	}
 
 	/** A commit was not answered: it may have taken effect, or may still do so. */
-	record Unanswered(long commit) implements TermEvent {
+	record Unanswered(long commitNumber) implements TermEvent {
 	}
 
 	/**
 	 * An entry says that it holds the term.
 	 *
 	 * @param epoch the epoch
-	 * @param commit the number of its last commit that is in the store, 0 where it does
-	 * not say
+	 * @param commitNumber the number of its last commit that is in the store, 0 where it
+	 * does not say
 	 */
-	record HolderHeard(long epoch, long commit) implements TermEvent {
+	record HolderAnnounced(long epoch, long commitNumber) implements TermEvent {
 	}
 
 	/**
 	 * The holder of that epoch, or of an earlier one, surely decides nothing any more: it
 	 * said so, or its process is gone.
 	 */
-	record HolderQuit(long epoch) implements TermEvent {
+	record HolderResigned(long epoch) implements TermEvent {
 	}
 
 	/** The connection to the holder is lost; nothing is known of it. */
@@ -58,11 +58,11 @@
 	}
 
 	/** The store answers slowly, and has not carried a commit out yet. */
-	record Delayed(long commit) implements TermEvent {
+	record CommitDelayed(long commitNumber) implements TermEvent {
 	}
 
 	/** The store, which was silent, answers again. */
-	record StoreAnswers() implements TermEvent {
+	record StoreRecovered() implements TermEvent {
 	}
 
 	/** Commit something together with the row, under this term. */
--- a/core/src/main/java/org/almondmount/term/TermLength.java
+++ b/core/src/main/java/org/almondmount/term/TermLength.java
@@ -11,32 +11,32 @@
  */
 final class TermLength {
 
-	private static final double QUICK_SHARE = 0.8;
+	private static final double FAST_COMMIT_LENGTH_RATIO = 0.8;
 
 	/** Commits that take place one after the other within a length. */
-	private static final int COMMITS_A_LENGTH = 4;
+	private static final int COMMITS_PER_LENGTH = 4;
 
 	/** How much of the slowest commit is forgotten with each later one. */
-	private static final double FADING = 0.8;
+	private static final double SLOWEST_COMMIT_DECAY = 0.8;
 
-	private static final int RENEWALS_A_LENGTH = 4;
+	private static final int RENEWALS_PER_LENGTH = 4;
 
-	private static final int MARGIN_PARTS = 8;
+	private static final int CLOCK_MARGIN_DIVISOR = 8;
 
-	private final long longestMillis;
+	private final long maxMillis;
 
-	private double slowestMillis;
+	private double slowestCommitMillis;
 
-	TermLength(long longestMillis) {
-		this.longestMillis = longestMillis;
+	TermLength(long maxMillis) {
+		this.maxMillis = maxMillis;
 	}
 
 	/**
 	 * Takes note of a commit.
 	 * @param millis how long it took
 	 */
-	void committed(long millis) {
-		this.slowestMillis = Math.max(millis, this.slowestMillis * FADING);
+	void recordCommit(long millis) {
+		this.slowestCommitMillis = Math.max(millis, this.slowestCommitMillis * SLOWEST_COMMIT_DECAY);
 	}
 
 	/**
@@ -44,16 +44,16 @@
 	 * @return milliseconds
 	 */
 	long millis() {
-		double shortest = this.longestMillis * QUICK_SHARE;
-		return (long) Math.min(this.longestMillis, Math.max(shortest, this.slowestMillis * COMMITS_A_LENGTH));
+		double minMillis = this.maxMillis * FAST_COMMIT_LENGTH_RATIO;
+		return (long) Math.min(this.maxMillis, Math.max(minMillis, this.slowestCommitMillis * COMMITS_PER_LENGTH));
 	}
 
 	/**
 	 * Whether commits took so long of late that the term is longer than the shortest.
 	 * @return whether they did
 	 */
-	boolean slow() {
-		return this.slowestMillis * COMMITS_A_LENGTH > this.longestMillis * QUICK_SHARE;
+	boolean areCommitsSlow() {
+		return this.slowestCommitMillis * COMMITS_PER_LENGTH > this.maxMillis * FAST_COMMIT_LENGTH_RATIO;
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	 * @return milliseconds
 	 */
 	static long renewAfterMillis(long lengthMillis) {
-		return lengthMillis / RENEWALS_A_LENGTH;
+		return lengthMillis / RENEWALS_PER_LENGTH;
 	}
 
 	/**
@@ -72,7 +72,7 @@
 	 * @return milliseconds
 	 */
 	static long validForMillis(long lengthMillis) {
-		return lengthMillis - lengthMillis / MARGIN_PARTS;
+		return lengthMillis - lengthMillis / CLOCK_MARGIN_DIVISOR;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/term/TermSettings.java
+++ b/core/src/main/java/org/almondmount/term/TermSettings.java
@@ -13,17 +13,17 @@
 public record TermSettings(String self, String address, long lengthMillis) {
 
 	/** The shortest length that leaves room for a renewal and its retry. */
-	public static final long SHORTEST_MILLIS = 400;
+	public static final long MIN_LENGTH_MILLIS = 400;
 
 	/** One missing word of the holder, which speaks three times a second. */
-	private static final long QUIET_MILLIS = 450;
+	private static final long HOLDER_SILENCE_MILLIS = 450;
 
-	private static final int LOOKS_A_LENGTH = 6;
+	private static final int READS_PER_LENGTH = 6;
 
 	public TermSettings {
-		if (lengthMillis < SHORTEST_MILLIS) {
+		if (lengthMillis < MIN_LENGTH_MILLIS) {
 			throw new InvalidValueException("lengthMillis",
-					"is " + lengthMillis + "; give at least " + SHORTEST_MILLIS);
+					"is " + lengthMillis + "; give at least " + MIN_LENGTH_MILLIS);
 		}
 	}
 
@@ -31,16 +31,16 @@
 	 * How often an entry looks at the row while it does not hear the holder.
 	 * @return milliseconds
 	 */
-	public long lookEveryMillis() {
-		return this.lengthMillis / LOOKS_A_LENGTH;
+	public long readIntervalMillis() {
+		return this.lengthMillis / READS_PER_LENGTH;
 	}
 
 	/**
 	 * Silence of the holder after which the row is looked at.
 	 * @return milliseconds
 	 */
-	public long quietMillis() {
-		return QUIET_MILLIS;
+	public long holderSilenceMillis() {
+		return HOLDER_SILENCE_MILLIS;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/worker/BegunRuns.java
+++ b/core/src/main/java/org/almondmount/worker/ActiveRuns.java
@@ -13,9 +13,9 @@
  * The runs that are at work in the present life of a worker, by what the worker answered.
  * Mutable; owned by the keeper.
  */
-final class BegunRuns {
+final class ActiveRuns {
 
-	private final Map<Key, Long> since = new LinkedHashMap<>();
+	private final Map<RunKey, Long> startedAt = new LinkedHashMap<>();
 
 	/**
 	 * Takes note of a run that the worker has begun; a repeat changes nothing.
@@ -23,32 +23,32 @@
 	 * @param run the run's number
 	 * @param now the steady clock in milliseconds
 	 */
-	void begun(TaskId task, int run, long now) {
-		this.since.putIfAbsent(new Key(task, run), now);
+	void recordStart(TaskId task, int run, long now) {
+		this.startedAt.putIfAbsent(new RunKey(task, run), now);
 	}
 
-	void ended(TaskId task, int run) {
-		this.since.remove(new Key(task, run));
+	void recordEnd(TaskId task, int run) {
+		this.startedAt.remove(new RunKey(task, run));
 	}
 
 	/**
 	 * Forgets all runs: the life is over.
-	 * @param life that life
-	 * @param lastAnswer when the worker last answered in it, by the steady clock
+	 * @param incarnation that life
+	 * @param lastAnswerAt when the worker last answered in it, by the steady clock
 	 * @return the runs that had not ended
 	 */
-	List<WorkerReport.Crashed> takeAll(WorkerLife life, long lastAnswer) {
+	List<WorkerReport.Crashed> removeAll(WorkerLife incarnation, long lastAnswerAt) {
 		List<WorkerReport.Crashed> runs = new ArrayList<>();
-		this.since.forEach((key, began) -> runs
-			.add(new WorkerReport.Crashed(life, key.task, key.run, Math.max(0, lastAnswer - began))));
-		this.since.clear();
+		this.startedAt.forEach((key, began) -> runs
+			.add(new WorkerReport.Crashed(incarnation, key.task, key.run, Math.max(0, lastAnswerAt - began))));
+		this.startedAt.clear();
 		return runs;
 	}
 
 	/**
 	 * A run of a task.
 	 */
-	private record Key(TaskId task, int run) {
+	private record RunKey(TaskId task, int run) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/worker/OrderedRun.java
+++ b/core/src/main/java/org/almondmount/worker/OrderedRun.java
@@ -11,21 +11,21 @@
 final class OrderedRun {
 
 	/** Calls that begin a run; each waits a third of a second for its answer. */
-	private static final int MOST_TRIES = 4;
+	private static final int MAX_START_CALLS = 4;
 
 	private final StartOrdered order;
 
-	private int tries = 1;
+	private int startCallCount = 1;
 
-	private boolean stopWanted;
+	private boolean stopRequested;
 
-	private boolean stopOutstanding;
+	private boolean stopCallOutstanding;
 
-	private long stopAnsweredBefore;
+	private long firstPollAfterStop;
 
 	private long retryStopAt = Long.MIN_VALUE;
 
-	private String why = "stopped before it began";
+	private String notStartedReason = "stopped before it began";
 
 	OrderedRun(StartOrdered order) {
 		this.order = order;
@@ -36,49 +36,49 @@
 	 * @param stop that order
 	 * @return the run
 	 */
-	static OrderedRun unknown(StopOrdered stop) {
-		return new OrderedRun(
-				new StartOrdered(stop.epoch(), 0, stop.life(), stop.task(), stop.run(), "", "", ResourceAmount.NONE));
+	static OrderedRun ofStopOrder(StopOrdered stop) {
+		return new OrderedRun(new StartOrdered(stop.epoch(), 0, stop.incarnation(), stop.task(), stop.run(), "", "",
+				ResourceAmount.NONE));
 	}
 
 	StartOrdered order() {
 		return this.order;
 	}
 
-	void begun() {
-		this.tries = 0;
+	void resetStartCalls() {
+		this.startCallCount = 0;
 	}
 
-	boolean mayTryAgain() {
-		return ++this.tries <= MOST_TRIES;
+	boolean mayRetryStart() {
+		return ++this.startCallCount <= MAX_START_CALLS;
 	}
 
-	boolean stopWanted() {
-		return this.stopWanted;
+	boolean stopRequested() {
+		return this.stopRequested;
 	}
 
-	void stopWanted(boolean wanted) {
-		this.stopWanted = wanted;
+	void stopRequested(boolean requested) {
+		this.stopRequested = requested;
 	}
 
-	boolean stopOutstanding() {
-		return this.stopOutstanding;
+	boolean stopCallOutstanding() {
+		return this.stopCallOutstanding;
 	}
 
-	void stopOutstanding(boolean outstanding) {
-		this.stopOutstanding = outstanding;
+	void stopCallOutstanding(boolean outstanding) {
+		this.stopCallOutstanding = outstanding;
 	}
 
 	/**
 	 * The first look that was sent after the stop was answered.
 	 * @return its number, 0 while the stop is not answered
 	 */
-	long stopAnsweredBefore() {
-		return this.stopAnsweredBefore;
+	long firstPollAfterStop() {
+		return this.firstPollAfterStop;
 	}
 
-	void stopAnsweredBefore(long look) {
-		this.stopAnsweredBefore = look;
+	void firstPollAfterStop(long pollNumber) {
+		this.firstPollAfterStop = pollNumber;
 	}
 
 	long retryStopAt() {
@@ -89,12 +89,12 @@
 		this.retryStopAt = millis;
 	}
 
-	String why() {
-		return this.why;
+	String notStartedReason() {
+		return this.notStartedReason;
 	}
 
-	void why(String reason) {
-		this.why = reason;
+	void notStartedReason(String reason) {
+		this.notStartedReason = reason;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/worker/RecentCrashes.java
+++ b/core/src/main/java/org/almondmount/worker/RecentCrashes.java
@@ -15,26 +15,26 @@
 final class RecentCrashes {
 
 	/** Longer than it takes until the next holder decides, in milliseconds. */
-	private static final long TOLD_MILLIS = 60_000;
+	private static final long REPORT_PERIOD_MILLIS = 60_000;
 
 	/** Bounds the report of a worker that crashes all the time. */
-	private static final int MOST_RUNS = 256;
+	private static final int MAX_RUNS = 256;
 
 	private final List<WorkerReport.Crashed> runs = new ArrayList<>();
 
-	private long toldUntil = Long.MIN_VALUE;
+	private long reportedUntil = Long.MIN_VALUE;
 
 	void add(long now, List<WorkerReport.Crashed> crashed) {
-		this.toldUntil = now + TOLD_MILLIS;
+		this.reportedUntil = now + REPORT_PERIOD_MILLIS;
 		this.runs.addAll(crashed);
-		int beyond = this.runs.size() - MOST_RUNS;
-		if (beyond > 0) {
-			this.runs.subList(0, beyond).clear();
+		int excess = this.runs.size() - MAX_RUNS;
+		if (excess > 0) {
+			this.runs.subList(0, excess).clear();
 		}
 	}
 
 	List<WorkerReport.Crashed> runs(long now) {
-		if (now > this.toldUntil) {
+		if (now > this.reportedUntil) {
 			this.runs.clear();
 		}
 		return this.runs;
--- a/core/src/main/java/org/almondmount/worker/WorkerCommand.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerCommand.java
@@ -14,25 +14,26 @@
 	/**
 	 * Look at the worker and renew its lease.
 	 *
-	 * @param look the look's number
-	 * @param life the life that is meant, {@link WorkerLife#NONE} for whichever is there
+	 * @param pollNumber the look's number
+	 * @param incarnation the life that is meant, {@link WorkerLife#NONE} for whichever is
+	 * there
 	 * @param epoch the epoch that the worker is to obey
-	 * @param acknowledged ends up to that number may be forgotten
+	 * @param acknowledgedEnd ends up to that number may be forgotten
 	 * @param leaseUntilMillis the end of the lease by the worker's clock, 0 to renew
 	 * nothing
-	 * @param waitMillis how long the worker may wait for an end before it answers
+	 * @param maxWaitMillis how long the worker may wait for an end before it answers
 	 */
-	record Look(long look, WorkerLife life, long epoch, long acknowledged, long leaseUntilMillis,
-			long waitMillis) implements WorkerCommand {
+	record Poll(long pollNumber, WorkerLife incarnation, long epoch, long acknowledgedEnd, long leaseUntilMillis,
+			long maxWaitMillis) implements WorkerCommand {
 	}
 
 	/** Have the worker begin a run; the lease ends at that time of the worker's clock. */
-	record Start(WorkerLife life, long epoch, TaskId task, int run, String program, String checkpoint,
+	record Start(WorkerLife incarnation, long epoch, TaskId task, int run, String program, String checkpoint,
 			long leaseUntilMillis) implements WorkerCommand {
 	}
 
 	/** Have the worker end a run. */
-	record Stop(WorkerLife life, long epoch, TaskId task, int run) implements WorkerCommand {
+	record Stop(WorkerLife incarnation, long epoch, TaskId task, int run) implements WorkerCommand {
 	}
 
 	/**
@@ -53,28 +54,29 @@
 	}
 
 	/** Tell the holder that a run was not begun and never will be. */
-	record SendNotBegun(TaskId task, int run, String why) implements WorkerCommand {
+	record SendRunNotStarted(TaskId task, int run, String reason) implements WorkerCommand {
 	}
 
 	/**
 	 * Count an order that is not carried out.
 	 *
-	 * @param order the kind of order
+	 * @param orderKind the kind of order
 	 * @param task the task that it is about
 	 * @param run the task's run
 	 * @param epoch the epoch of the holder that sent it
-	 * @param why the reason
+	 * @param reason the reason
 	 */
-	record IgnoreOrder(String order, TaskId task, int run, long epoch, IgnoredReason why) implements WorkerCommand {
+	record IgnoreOrder(String orderKind, TaskId task, int run, long epoch,
+			IgnoredReason reason) implements WorkerCommand {
 	}
 
 	/**
 	 * Count a worker that ended without notice, with what was at work there.
 	 *
-	 * @param life the life that ended
+	 * @param incarnation the life that ended
 	 * @param runs the runs whose start the worker had answered, or that it had listed
 	 */
-	record CountCrash(WorkerLife life, List<WorkerReport.Crashed> runs) implements WorkerCommand {
+	record CountCrash(WorkerLife incarnation, List<WorkerReport.Crashed> runs) implements WorkerCommand {
 
 		public CountCrash {
 			runs = List.copyOf(runs);
@@ -83,10 +85,10 @@
 	}
 
 	/** A decision that an administrator may want to read later. */
-	record Explain(String event, Object[] keysAndValues) implements WorkerCommand {
+	record LogDecision(String event, Object[] keysAndValues) implements WorkerCommand {
 
-		static Explain of(String event, Object... keysAndValues) {
-			return new Explain(event, keysAndValues);
+		static LogDecision of(String event, Object... keysAndValues) {
+			return new LogDecision(event, keysAndValues);
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/worker/WorkerEvent.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerEvent.java
@@ -16,26 +16,26 @@
 	/**
 	 * The worker described itself.
 	 *
-	 * @param worker what it said
-	 * @param announcement counts what this life of the worker announces
+	 * @param description what it said
+	 * @param announcementNumber counts what this life of the worker announces
 	 */
-	record Described(WorkerDescription worker, long announcement) implements WorkerEvent {
+	record WorkerAnnounced(WorkerDescription description, long announcementNumber) implements WorkerEvent {
 	}
 
 	/** The worker said that it ends now. */
-	record Left(String worker) implements WorkerEvent {
+	record WorkerLeaving(String worker) implements WorkerEvent {
 	}
 
 	/** A holder of the term was found, or found again after a lost connection. */
-	record HolderFound(long epoch) implements WorkerEvent {
+	record HolderConnected(long epoch) implements WorkerEvent {
 	}
 
 	/** The connection to the holder is gone. */
-	record HolderGone() implements WorkerEvent {
+	record HolderDisconnected() implements WorkerEvent {
 	}
 
 	/** The holder grants the lease, counted from when that heartbeat was sent. */
-	record Granted(long epoch, long heartbeat, long leaseMillis) implements WorkerEvent {
+	record LeaseGranted(long epoch, long heartbeat, long leaseMillis) implements WorkerEvent {
 	}
 
 	/**
@@ -43,38 +43,38 @@
 	 *
 	 * @param epoch the holder's epoch
 	 * @param heartbeat the last heartbeat that the holder had heard
-	 * @param life the life of the worker that it means
+	 * @param incarnation the life of the worker that it means
 	 * @param task the task
 	 * @param run the run's number
 	 * @param program what to run
 	 * @param checkpoint where to go on, or empty
 	 * @param capacity the worker's capacity by which the holder chose it
 	 */
-	record StartOrdered(long epoch, long heartbeat, WorkerLife life, TaskId task, int run, String program,
+	record StartOrdered(long epoch, long heartbeat, WorkerLife incarnation, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements WorkerEvent {
 	}
 
 	/** The holder orders a run to end, or never to begin. */
-	record StopOrdered(long epoch, WorkerLife life, TaskId task, int run) implements WorkerEvent {
+	record StopOrdered(long epoch, WorkerLife incarnation, TaskId task, int run) implements WorkerEvent {
 	}
 
 	/** Ends up to that number are kept. */
-	record EndsKept(long epoch, WorkerLife life, long upTo) implements WorkerEvent {
+	record EndsRecorded(long epoch, WorkerLife incarnation, long upTo) implements WorkerEvent {
 	}
 
 	/**
 	 * The worker answered a look.
 	 *
-	 * @param look the look's number
-	 * @param life the life that answered
+	 * @param pollNumber the look's number
+	 * @param incarnation the life that answered
 	 * @param clockMillis the worker's clock when it answered
 	 * @param running what runs
 	 * @param ended what ended and was not acknowledged
 	 */
-	record Looked(long look, WorkerLife life, long clockMillis, List<WorkerReport.Running> running,
+	record PollAnswered(long pollNumber, WorkerLife incarnation, long clockMillis, List<WorkerReport.Running> running,
 			List<WorkerReport.Ended> ended) implements WorkerEvent {
 
-		public Looked {
+		public PollAnswered {
 			running = List.copyOf(running);
 			ended = List.copyOf(ended);
 		}
@@ -82,15 +82,15 @@
 	}
 
 	/** The worker did not answer a look. */
-	record LookFailed(long look, String why) implements WorkerEvent {
+	record PollFailed(long pollNumber, String reason) implements WorkerEvent {
 	}
 
 	/** What came of a call that begins a run. */
-	record StartEnded(TaskId task, int run, CallEnding ending, String why) implements WorkerEvent {
+	record StartCallEnded(TaskId task, int run, CallOutcome outcome, String reason) implements WorkerEvent {
 	}
 
 	/** What came of a call that ends a run. */
-	record StopEnded(TaskId task, int run, CallEnding ending) implements WorkerEvent {
+	record StopCallEnded(TaskId task, int run, CallOutcome outcome) implements WorkerEvent {
 	}
 
 	/** Time has passed. */
@@ -100,7 +100,7 @@
 	/**
 	 * What came of a call to the worker.
 	 */
-	enum CallEnding {
+	enum CallOutcome {
 
 		/** It was done. */
 		DONE,
--- /dev/null
+++ b/core/src/main/java/org/almondmount/worker/WorkerManager.java
@@ -0,0 +1,607 @@
+package org.almondmount.worker;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+
+import org.almondmount.workflow.TaskId;
+import org.almondmount.workflow.WorkerDescription;
+import org.almondmount.workflow.WorkerLife;
+import org.almondmount.workflow.WorkerReport;
+
+/**
+ * Stands between the holder of the term and one worker. Deterministic; not thread-safe.
+ * <p>
+ * It passes on orders of the highest epoch that it has heard of, renews the worker's
+ * lease only as far as the holder granted it, and tells the holder what the worker lists.
+ * It keeps nothing that lasts: after a restart it asks the worker and the holder.
+ */
+public final class WorkerManager {
+
+	/** A worker's clock may be 2 % slow. */
+	private static final double MIN_WORKER_CLOCK_RATE = 0.98;
+
+	/**
+	 * Silence of the worker after which it is no longer vouched for, in milliseconds: a
+	 * look waits a second for an end and a third of one for its answer.
+	 */
+	private static final long WORKER_ANSWER_TIMEOUT_MILLIS = 2_000;
+
+	/**
+	 * The capacity that a worker announced is reckoned with for so long, in milliseconds:
+	 * one announcement may be missing. A paused process reads orders that lie before
+	 * newer announcements.
+	 */
+	private static final long DESCRIPTION_VALIDITY_MILLIS = 3_500;
+
+	/** Heartbeats whose sending time is remembered: more than a lease holds. */
+	private static final int MAX_REMEMBERED_HEARTBEATS = 64;
+
+	/** Looks in a row that fail after a worker said that it ends: then it is gone. */
+	private static final int MIN_FAILED_POLLS_AFTER_LEAVING = 2;
+
+	/** One that still answers so long after has another life, or did not mean it. */
+	private static final long LEAVING_NOTICE_VALIDITY_MILLIS = 5_000;
+
+	private final String target;
+
+	private final WorkerPolicy policy;
+
+	private final Map<Long, Long> heartbeatSentAt = new LinkedHashMap<>();
+
+	private final Map<String, OrderedRun> orders = new HashMap<>();
+
+	private final TreeMap<Long, WorkerReport.Ended> unacknowledgedEnds = new TreeMap<>();
+
+	private final ActiveRuns activeRuns = new ActiveRuns();
+
+	private final RecentCrashes crashes = new RecentCrashes();
+
+	private List<WorkerCommand> commands = new ArrayList<>();
+
+	private Optional<WorkerDescription> description = Optional.empty();
+
+	private long describedAtMillis;
+
+	private long lastAnnouncement;
+
+	private WorkerLife incarnation = WorkerLife.NONE;
+
+	private List<WorkerReport.Running> running = List.of();
+
+	private long workerClockMillis;
+
+	private long workerClockReadAt;
+
+	private long epoch;
+
+	private long obeyedEpoch;
+
+	private boolean holderConnected;
+
+	private long lastHeartbeat;
+
+	private long nextHeartbeat = Long.MIN_VALUE;
+
+	private long leaseUntil = Long.MIN_VALUE;
+
+	private long acknowledgedEnd;
+
+	private long lastPollNumber;
+
+	private long outstandingPoll;
+
+	private long nextPollAt = Long.MIN_VALUE;
+
+	private Map<Long, Long> pollEpochs = new HashMap<>();
+
+	private long leavingNoticeAt = Long.MIN_VALUE;
+
+	private int failedPollCount;
+
+	private long workerAnsweredAt = Long.MIN_VALUE;
+
+	private boolean pollRequested;
+
+	private boolean reportDue;
+
+	private boolean polledSinceReport;
+
+	private long nextProgressReportAt;
+
+	public WorkerManager(String target, WorkerPolicy policy) {
+		this.target = target;
+		this.policy = policy;
+	}
+
+	/**
+	 * Takes one event.
+	 * @param now the driver's steady clock in milliseconds
+	 * @param event what happened
+	 * @return what is to be done, in order
+	 */
+	public List<WorkerCommand> handle(long now, WorkerEvent event) {
+		this.commands = new ArrayList<>();
+		if (!dispatchHolderEvent(now, event)) {
+			dispatchWorkerEvent(now, event);
+		}
+		issueCommands(now);
+		return this.commands;
+	}
+
+	private boolean dispatchHolderEvent(long now, WorkerEvent event) {
+		if (event instanceof WorkerEvent.HolderConnected connected) {
+			handleHolderConnected(connected.epoch());
+		}
+		else if (event instanceof WorkerEvent.HolderDisconnected) {
+			this.holderConnected = false;
+		}
+		else if (event instanceof WorkerEvent.LeaseGranted granted) {
+			handleLeaseGranted(granted);
+		}
+		else if (event instanceof WorkerEvent.StartOrdered start) {
+			handleStartOrder(now, start);
+		}
+		else if (event instanceof WorkerEvent.StopOrdered stop) {
+			handleStopOrder(now, stop);
+		}
+		else if (event instanceof WorkerEvent.EndsRecorded recorded) {
+			handleEndsRecorded(recorded);
+		}
+		else {
+			return false;
+		}
+		return true;
+	}
+
+	private void dispatchWorkerEvent(long now, WorkerEvent event) {
+		if (event instanceof WorkerEvent.WorkerAnnounced announced) {
+			handleAnnouncement(now, announced.description(), announced.announcementNumber());
+		}
+		else if (event instanceof WorkerEvent.PollAnswered answered) {
+			handlePollAnswer(now, answered);
+		}
+		else if (event instanceof WorkerEvent.WorkerLeaving leaving) {
+			if (leaving.worker().equals(this.incarnation.worker())) {
+				this.leavingNoticeAt = now;
+			}
+		}
+		else if (event instanceof WorkerEvent.PollFailed failed) {
+			handlePollEnded(failed.pollNumber());
+			this.failedPollCount++;
+			abandonRunsIfWorkerLeft();
+			this.nextPollAt = now + this.policy.pollRetryPauseMillis();
+		}
+		else if (event instanceof WorkerEvent.StartCallEnded ended) {
+			handleStartCallEnded(now, ended);
+		}
+		else if (event instanceof WorkerEvent.StopCallEnded ended) {
+			handleStopCallEnded(now, ended);
+		}
+	}
+
+	private void handleHolderConnected(long holderEpoch) {
+		if (holderEpoch < this.epoch) {
+			return;
+		}
+		if (holderEpoch > this.epoch) {
+			this.epoch = holderEpoch;
+			this.orders.clear();
+			this.pollRequested = true;
+			this.commands.add(WorkerCommand.LogDecision.of("epoch-raised", "epoch", holderEpoch));
+		}
+		this.holderConnected = true;
+		this.reportDue = true;
+		this.nextHeartbeat = Long.MIN_VALUE;
+	}
+
+	private void handleLeaseGranted(WorkerEvent.LeaseGranted granted) {
+		Long sentAt = this.heartbeatSentAt.get(granted.heartbeat());
+		if (granted.epoch() < this.epoch || sentAt == null) {
+			return;
+		}
+		this.leaseUntil = Math.max(this.leaseUntil, sentAt + granted.leaseMillis());
+	}
+
+	// An order is good for as long as the lease that the holder granted with the last
+	// heartbeat it had heard. After that the holder takes for granted that nothing of the
+	// order runs, and an order that a cut connection delivers late must not begin a run.
+	private void handleStartOrder(long now, WorkerEvent.StartOrdered order) {
+		if (ignoreIfStale("start", order.epoch(), order.incarnation(), order.task(), order.run())) {
+			return;
+		}
+		String key = runKey(order.task(), order.run());
+		if (this.orders.containsKey(key) || isListed(order.task(), order.run())) {
+			return;
+		}
+		OrderedRun run = new OrderedRun(order);
+		this.orders.put(key, run);
+		Optional<String> refusal = refusalReason(now, order);
+		if (refusal.isEmpty()) {
+			sendStart(now, run);
+			return;
+		}
+		// The process that stood here before may have sent the same order, and its call
+		// may still be carried out. So a refusal is only told once the worker was told to
+		// stop the run, after which it never begins.
+		run.notStartedReason(refusal.get());
+		run.stopRequested(true);
+		sendStop(run);
+	}
+
+	private boolean ignoreIfStale(String orderKind, long orderEpoch, WorkerLife orderIncarnation, TaskId task,
+			int run) {
+		if (orderEpoch >= this.epoch && orderIncarnation.equals(this.incarnation)) {
+			return false;
+		}
+		IgnoredReason reason = (orderEpoch < this.epoch) ? IgnoredReason.OLD_EPOCH : IgnoredReason.ANOTHER_LIFE;
+		this.commands.add(new WorkerCommand.IgnoreOrder(orderKind, task, run, orderEpoch, reason));
+		return true;
+	}
+
+	// Some workers begin whatever they are told to, and this process hears first that the
+	// worker has less room than the holder reckoned with.
+	private Optional<String> refusalReason(long now, WorkerEvent.StartOrdered order) {
+		Long sentAt = this.heartbeatSentAt.get(order.heartbeat());
+		if (sentAt == null || leaseUntilOnWorkerClock(now) == 0) {
+			return Optional.of("no lease");
+		}
+		if (this.description.isEmpty() || isDraining()) {
+			return Optional.of("draining");
+		}
+		if (now - this.describedAtMillis > DESCRIPTION_VALIDITY_MILLIS) {
+			return Optional.of("not announced lately");
+		}
+		if (!order.capacity().fitsIn(this.description.get().capacity())) {
+			return Optional.of("its room has shrunk");
+		}
+		return Optional.empty();
+	}
+
+	private void sendStart(long now, OrderedRun run) {
+		WorkerEvent.StartOrdered order = run.order();
+		this.commands.add(new WorkerCommand.Start(this.incarnation, this.epoch, order.task(), order.run(),
+				order.program(), order.checkpoint(), leaseUntilOnWorkerClock(now)));
+	}
+
+	private void handleStopOrder(long now, WorkerEvent.StopOrdered order) {
+		if (ignoreIfStale("stop", order.epoch(), order.incarnation(), order.task(), order.run())) {
+			return;
+		}
+		String key = runKey(order.task(), order.run());
+		OrderedRun run = this.orders.computeIfAbsent(key, (name) -> OrderedRun.ofStopOrder(order));
+		run.stopRequested(true);
+		if (!run.stopCallOutstanding()) {
+			sendStop(run);
+		}
+	}
+
+	private void sendStop(OrderedRun run) {
+		run.stopCallOutstanding(true);
+		this.commands.add(new WorkerCommand.Stop(this.incarnation, this.epoch, run.order().task(), run.order().run()));
+	}
+
+	private void handleEndsRecorded(WorkerEvent.EndsRecorded recorded) {
+		if (recorded.epoch() < this.epoch || !recorded.incarnation().equals(this.incarnation)
+				|| recorded.upTo() <= this.acknowledgedEnd) {
+			return;
+		}
+		this.acknowledgedEnd = recorded.upTo();
+		this.unacknowledgedEnds.headMap(recorded.upTo(), true).clear();
+		this.pollRequested = true;
+	}
+
+	private void handleAnnouncement(long now, WorkerDescription announced, long announcementNumber) {
+		if (announced.life().bornMillis() < this.incarnation.bornMillis()) {
+			return;
+		}
+		beginIncarnation(now, announced.life());
+		// Announcements overtake each other: an older one may tell of room that is gone,
+		// or that a worker is ready which leaves by now.
+		boolean overtaken = announcementNumber < this.lastAnnouncement;
+		if (overtaken || (isDraining() && !announced.draining())) {
+			return;
+		}
+		this.lastAnnouncement = announcementNumber;
+		boolean unchanged = this.description
+			.map((known) -> known.draining() == announced.draining() && known.capacity().equals(announced.capacity()))
+			.orElse(false);
+		this.description = Optional.of(announced);
+		this.describedAtMillis = now;
+		this.reportDue |= !unchanged;
+	}
+
+	// A worker that said that it ends and does not answer any more runs nothing. Its runs
+	// need not wait for their lease to run out.
+	private void abandonRunsIfWorkerLeft() {
+		if (this.leavingNoticeAt == Long.MIN_VALUE || this.failedPollCount < MIN_FAILED_POLLS_AFTER_LEAVING) {
+			return;
+		}
+		for (WorkerReport.Running run : this.running) {
+			this.commands.add(new WorkerCommand.SendRunNotStarted(run.task(), run.run(), "the worker left"));
+		}
+		for (OrderedRun run : this.orders.values()) {
+			this.commands
+				.add(new WorkerCommand.SendRunNotStarted(run.order().task(), run.order().run(), "the worker left"));
+		}
+		this.running = List.of();
+		this.orders.clear();
+	}
+
+	private boolean isDraining() {
+		return this.description.map(WorkerDescription::draining).orElse(false);
+	}
+
+	// A new life knows nothing of the former one's runs, ends and orders. A look that was
+	// sent before the worker had told its name brings the same life without it; taken as
+	// it is, the holder's orders for that life would not be known for what they are.
+	private void beginIncarnation(long now, WorkerLife next) {
+		if (next.equals(this.incarnation)) {
+			return;
+		}
+		if (next.bornMillis() == this.incarnation.bornMillis()) {
+			this.incarnation = next.worker().isEmpty() ? this.incarnation : next;
+			return;
+		}
+		recordCrash(now);
+		this.incarnation = next;
+		this.commands.add(WorkerCommand.LogDecision.of("worker-life", "life", next));
+		this.description = Optional.empty();
+		this.lastAnnouncement = 0;
+		this.running = List.of();
+		this.unacknowledgedEnds.clear();
+		this.orders.clear();
+		this.acknowledgedEnd = 0;
+		this.leavingNoticeAt = Long.MIN_VALUE;
+		this.failedPollCount = 0;
+		this.obeyedEpoch = 0;
+		this.pollRequested = true;
+	}
+
+	// A worker that leaves says so first. One that comes back without a word took
+	// down all that was at work there, or was taken down by it.
+	private void recordCrash(long now) {
+		List<WorkerReport.Crashed> runs = this.activeRuns.removeAll(this.incarnation, this.workerAnsweredAt);
+		boolean leaving = isDraining() || this.leavingNoticeAt != Long.MIN_VALUE;
+		if (!runs.isEmpty() && !leaving) {
+			this.crashes.add(now, runs);
+			this.commands.add(new WorkerCommand.CountCrash(this.incarnation, runs));
+		}
+	}
+
+	private void handlePollAnswer(long now, WorkerEvent.PollAnswered answer) {
+		Long pollEpoch = this.pollEpochs.get(answer.pollNumber());
+		handlePollEnded(answer.pollNumber());
+		if (answer.incarnation().bornMillis() < this.incarnation.bornMillis()) {
+			return;
+		}
+		beginIncarnation(now, answer.incarnation());
+		// A lease is granted only for a worker that answers. After a restart the first
+		// heartbeat leaves before the first answer, and every order would be refused for
+		// want of a lease until the next one is due.
+		if (!workerAnswers(now)) {
+			this.nextHeartbeat = Long.MIN_VALUE;
+		}
+		this.workerAnsweredAt = now;
+		this.failedPollCount = 0;
+		if (this.leavingNoticeAt != Long.MIN_VALUE && now - this.leavingNoticeAt > LEAVING_NOTICE_VALIDITY_MILLIS) {
+			this.leavingNoticeAt = Long.MIN_VALUE;
+		}
+		this.workerClockMillis = answer.clockMillis();
+		this.workerClockReadAt = now;
+		if (pollEpoch != null && pollEpoch > this.obeyedEpoch) {
+			this.obeyedEpoch = pollEpoch;
+			this.reportDue = true;
+		}
+		this.polledSinceReport = true;
+		updateRuns(answer);
+		confirmStops(answer);
+	}
+
+	private void updateRuns(WorkerEvent.PollAnswered answer) {
+		for (WorkerReport.Ended end : answer.ended()) {
+			if (end.number() > this.acknowledgedEnd && this.unacknowledgedEnds.put(end.number(), end) == null) {
+				this.reportDue = true;
+				this.orders.remove(runKey(end.task(), end.run()));
+			}
+			this.activeRuns.recordEnd(end.task(), end.run());
+		}
+		List<WorkerReport.Running> stillRunning = new ArrayList<>();
+		for (WorkerReport.Running run : answer.running()) {
+			if (!hasEnded(run.task(), run.run())) {
+				stillRunning.add(run);
+				this.activeRuns.recordStart(run.task(), run.run(), this.workerAnsweredAt);
+			}
+		}
+		if (!listSameRuns(stillRunning, this.running)) {
+			this.reportDue = true;
+		}
+		if (this.running.isEmpty() && !stillRunning.isEmpty()) {
+			this.nextPollAt = Long.MIN_VALUE;
+		}
+		this.running = List.copyOf(stillRunning);
+	}
+
+	// A run that was told to stop, and is in neither list of a look that was sent after
+	// the stop was answered, was never begun and will be refused from now on.
+	private void confirmStops(WorkerEvent.PollAnswered answer) {
+		for (OrderedRun run : List.copyOf(this.orders.values())) {
+			TaskId task = run.order().task();
+			int number = run.order().run();
+			boolean polledAfterStop = run.firstPollAfterStop() != 0 && answer.pollNumber() >= run.firstPollAfterStop();
+			if (polledAfterStop && !isListed(task, number)) {
+				this.orders.remove(runKey(task, number));
+				this.commands.add(new WorkerCommand.SendRunNotStarted(task, number, run.notStartedReason()));
+			}
+		}
+	}
+
+	private void handleStartCallEnded(long now, WorkerEvent.StartCallEnded ended) {
+		OrderedRun run = this.orders.get(runKey(ended.task(), ended.run()));
+		if (run == null) {
+			return;
+		}
+		if (ended.outcome() == WorkerEvent.CallOutcome.DONE) {
+			this.activeRuns.recordStart(ended.task(), ended.run(), now);
+		}
+		if (run.stopRequested()) {
+			return;
+		}
+		if (ended.outcome() == WorkerEvent.CallOutcome.DONE) {
+			run.resetStartCalls();
+			this.pollRequested = true;
+			return;
+		}
+		boolean retryable = ended.outcome() == WorkerEvent.CallOutcome.UNANSWERED
+				&& refusalReason(now, run.order()).isEmpty();
+		if (retryable && run.mayRetryStart()) {
+			sendStart(now, run);
+			return;
+		}
+		run.notStartedReason(ended.reason());
+		run.stopRequested(true);
+		sendStop(run);
+	}
+
+	private void handleStopCallEnded(long now, WorkerEvent.StopCallEnded ended) {
+		OrderedRun run = this.orders.get(runKey(ended.task(), ended.run()));
+		if (run == null) {
+			return;
+		}
+		run.stopCallOutstanding(false);
+		if (ended.outcome() == WorkerEvent.CallOutcome.DONE) {
+			run.firstPollAfterStop(this.lastPollNumber + 1);
+			this.pollRequested = true;
+			return;
+		}
+		run.retryStopAt(now + this.policy.pollRetryPauseMillis());
+	}
+
+	// Progress is only told after a new look: an old list told again would make a task
+	// that moves look as if it stood still.
+	private void issueCommands(long now) {
+		retryStops(now);
+		pollIfDue(now);
+		if (!this.holderConnected) {
+			return;
+		}
+		if (now >= this.nextHeartbeat) {
+			this.nextHeartbeat = now + this.policy.heartbeatIntervalMillis();
+			this.commands.add(new WorkerCommand.SendHeartbeat(nextHeartbeat(now)));
+		}
+		boolean progressDue = !this.running.isEmpty() && this.polledSinceReport && now >= this.nextProgressReportAt;
+		if ((this.reportDue || progressDue) && this.description.isPresent() && workerAnswers(now)) {
+			this.reportDue = false;
+			this.polledSinceReport = false;
+			this.nextProgressReportAt = now + this.policy.progressReportIntervalMillis();
+			this.commands.add(
+					new WorkerCommand.SendReport(new WorkerReport(this.target, this.description.get(), this.obeyedEpoch,
+							this.running, List.copyOf(this.unacknowledgedEnds.values()), this.crashes.runs(now))));
+		}
+	}
+
+	// This process may live on beside a worker that is gone for good. A heartbeat that
+	// vouched for the worker would keep its runs alive in the holder's eyes for ever;
+	// without a number it only keeps the connection.
+	private long nextHeartbeat(long now) {
+		if (!workerAnswers(now)) {
+			return WorkerCommand.SendHeartbeat.WORKER_SILENT;
+		}
+		this.heartbeatSentAt.put(++this.lastHeartbeat, now);
+		this.heartbeatSentAt.keySet().removeIf((number) -> number <= this.lastHeartbeat - MAX_REMEMBERED_HEARTBEATS);
+		return this.lastHeartbeat;
+	}
+
+	private boolean workerAnswers(long now) {
+		return this.workerAnsweredAt != Long.MIN_VALUE && now - this.workerAnsweredAt <= WORKER_ANSWER_TIMEOUT_MILLIS;
+	}
+
+	private void retryStops(long now) {
+		for (OrderedRun run : this.orders.values()) {
+			if (run.stopRequested() && !run.stopCallOutstanding() && run.firstPollAfterStop() == 0
+					&& now >= run.retryStopAt()) {
+				sendStop(run);
+			}
+		}
+	}
+
+	// One look waits at a busy worker for an end; another one goes beside it when
+	// something has to be known or acknowledged at once. A worker that runs nothing
+	// answers at once, so it is looked at now and then, and again as soon as it begins a
+	// run: it may end or be stopped within the pause.
+	private void pollIfDue(long now) {
+		boolean regular = this.outstandingPoll == 0 && now >= this.nextPollAt;
+		if (!regular && !this.pollRequested) {
+			return;
+		}
+		boolean busy = !this.running.isEmpty();
+		long waitMillis = (regular && busy && !this.pollRequested) ? this.policy.pollWaitMillis() : 0;
+		this.pollRequested = false;
+		long number = ++this.lastPollNumber;
+		if (waitMillis > 0) {
+			this.outstandingPoll = number;
+			this.nextPollAt = now + this.policy.pollRetryPauseMillis();
+		}
+		else if (regular) {
+			this.nextPollAt = now + (busy ? 0 : this.policy.pollWaitMillis());
+		}
+		this.pollEpochs.put(number, this.epoch);
+		this.commands.add(new WorkerCommand.Poll(number, this.incarnation, this.epoch, this.acknowledgedEnd,
+				(this.incarnation.bornMillis() != 0) ? leaseUntilOnWorkerClock(now) : 0, waitMillis));
+	}
+
+	private void handlePollEnded(long pollNumber) {
+		this.pollEpochs.remove(pollNumber);
+		if (pollNumber == this.outstandingPoll) {
+			this.outstandingPoll = 0;
+		}
+	}
+
+	private long leaseUntilOnWorkerClock(long now) {
+		if (now >= this.leaseUntil || this.workerClockReadAt == 0) {
+			return 0;
+		}
+		long workerClockNow = this.workerClockMillis + (long) ((now - this.workerClockReadAt) * MIN_WORKER_CLOCK_RATE);
+		return workerClockNow + (this.leaseUntil - now);
+	}
+
+	private boolean isListed(TaskId task, int run) {
+		for (WorkerReport.Running listed : this.running) {
+			if (listed.task().equals(task) && listed.run() == run) {
+				return true;
+			}
+		}
+		return hasEnded(task, run);
+	}
+
+	private boolean hasEnded(TaskId task, int run) {
+		for (WorkerReport.Ended end : this.unacknowledgedEnds.values()) {
+			if (end.task().equals(task) && end.run() == run) {
+				return true;
+			}
+		}
+		return false;
+	}
+
+	private static boolean listSameRuns(List<WorkerReport.Running> some, List<WorkerReport.Running> others) {
+		if (some.size() != others.size()) {
+			return false;
+		}
+		for (int i = 0; i < some.size(); i++) {
+			boolean same = some.get(i).task().equals(others.get(i).task()) && some.get(i).run() == others.get(i).run();
+			if (!same) {
+				return false;
+			}
+		}
+		return true;
+	}
+
+	private static String runKey(TaskId task, int run) {
+		return task + "/" + run;
+	}
+
+}
--- a/core/src/main/java/org/almondmount/worker/WorkerPolicy.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerPolicy.java
@@ -3,12 +3,14 @@
 /**
  * The times by which the keeper of a worker acts, in milliseconds. Immutable.
  *
- * @param heartbeatMillis between two heartbeats to the holder
- * @param lookWaitMillis how long a look may wait for an end
- * @param lookPauseMillis pause after a look that was not answered
- * @param progressMillis between two reports that tell of nothing but progress
+ * @param heartbeatIntervalMillis between two heartbeats to the holder
+ * @param pollWaitMillis how long a look may wait for an end
+ * @param pollRetryPauseMillis pause after a look that was not answered
+ * @param progressReportIntervalMillis between two reports that tell of nothing but
+ * progress
  */
-public record WorkerPolicy(long heartbeatMillis, long lookWaitMillis, long lookPauseMillis, long progressMillis) {
+public record WorkerPolicy(long heartbeatIntervalMillis, long pollWaitMillis, long pollRetryPauseMillis,
+		long progressReportIntervalMillis) {
 
 	/**
 	 * A heartbeat a second is a sixth of the shortest lease; progress is needed when work
--- a/core/src/test/java/org/almondmount/gang/PartialGangProperties.java
+++ b/core/src/test/java/org/almondmount/gang/PartialGangProperties.java
@@ -35,18 +35,18 @@
  */
 class PartialGangProperties {
 
-	private static final int MEMBERS = 3;
+	private static final int MEMBER_COUNT = 3;
 
-	private static final long HEARD_BOUND = 2_000;
+	private static final long HEARTBEAT_VALIDITY_MILLIS = 2_000;
 
-	private static final long HEARTBEAT = 500;
+	private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
 
 	/** The heartbeat timeout: no connection holds a message back for longer. */
-	private static final long LONGEST_DELAY = 2_500;
+	private static final long MAX_DELAY_MILLIS = 2_500;
 
-	private static final long CHECKPOINT = 1_000;
+	private static final long MAX_CHECKPOINT_MILLIS = 1_000;
 
-	private static final long TICK = 50;
+	private static final long TICK_MILLIS = 50;
 
 	private static final MemberPolicy POLICY = MemberPolicy.DEFAULT.withCapacity(new Resources(1, 1, 1));
 
@@ -54,92 +54,92 @@
 	// gang: an entry believes heartbeats for its bound, they may have been on the way for
 	// the longest delay, the gang lease runs from the heartbeat that was answered, and
 	// then the task checkpoints.
-	private static final long BOUND = LONGEST_DELAY + HEARD_BOUND + POLICY.gangTimeout().toMillis() + CHECKPOINT
-			+ 6 * TICK;
+	private static final long MAX_PARTIAL_MILLIS = MAX_DELAY_MILLIS + HEARTBEAT_VALIDITY_MILLIS
+			+ POLICY.gangTimeout().toMillis() + MAX_CHECKPOINT_MILLIS + 6 * TICK_MILLIS;
 
 	@Property(tries = 300, seed = "20261203")
 	void noGangRunsPartiallyForLongerThanTheBound(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-		World world = new World(seed);
+		Simulation simulation = new Simulation(seed);
 		for (int step = 0; step < 2_400; step++) {
-			world.step();
+			simulation.step();
 		}
-		assertThat(world.longestPartial).isLessThanOrEqualTo(BOUND);
+		assertThat(simulation.longestPartialMillis).isLessThanOrEqualTo(MAX_PARTIAL_MILLIS);
 	}
 
-	private static final class World {
+	private static final class Simulation {
 
 		private final Random random;
 
 		private final List<Worker> workers = new ArrayList<>();
 
-		private final List<WholenessTracker> entries = List.of(new WholenessTracker(HEARD_BOUND),
-				new WholenessTracker(HEARD_BOUND));
+		private final List<RunningGangTracker> trackers = List.of(new RunningGangTracker(HEARTBEAT_VALIDITY_MILLIS),
+				new RunningGangTracker(HEARTBEAT_VALIDITY_MILLIS));
 
-		private final TreeMap<Long, List<Runnable>> later = new TreeMap<>();
+		private final TreeMap<Long, List<Runnable>> scheduledActions = new TreeMap<>();
 
 		private final Map<Attempt, Long> partialSince = new HashMap<>();
 
 		private final JobSpec spec = new JobSpec(new CustomerId("anna"), "weigh",
-				new GangShape(MEMBERS, new Resources(1, 1, 1), Adjacency.RACK), Urgency.NORMAL, true,
+				new GangShape(MEMBER_COUNT, new Resources(1, 1, 1), Adjacency.RACK), Urgency.NORMAL, true,
 				Duration.ofHours(1), Duration.ofMinutes(1), "run");
 
-		private final double trouble;
+		private final double faultRate;
 
 		private Holder holder = new Holder(1, 1);
 
 		private long now;
 
-		private long longestPartial;
+		private long longestPartialMillis;
 
-		World(long seed) {
+		Simulation(long seed) {
 			this.random = new Random(seed);
-			double dice = this.random.nextDouble();
-			this.trouble = 0.4 * dice * dice * dice;
-			for (int i = 0; i < MEMBERS; i++) {
+			double roll = this.random.nextDouble();
+			this.faultRate = 0.4 * roll * roll * roll;
+			for (int i = 0; i < MEMBER_COUNT; i++) {
 				this.workers.add(new Worker(i));
 			}
 		}
 
 		void step() {
-			this.now += TICK;
-			while (!this.later.isEmpty() && this.later.firstKey() <= this.now) {
-				this.later.pollFirstEntry().getValue().forEach(Runnable::run);
+			this.now += TICK_MILLIS;
+			while (!this.scheduledActions.isEmpty() && this.scheduledActions.firstKey() <= this.now) {
+				this.scheduledActions.pollFirstEntry().getValue().forEach(Runnable::run);
 			}
 			this.workers.forEach(Worker::step);
-			if (this.random.nextDouble() < this.trouble / 100) {
+			if (this.random.nextDouble() < this.faultRate / 100) {
 				this.holder = new Holder(this.holder.epoch + 1, this.holder.attempt.number() + 1);
 			}
 			this.holder.step();
-			measure();
+			measurePartialGangs();
 		}
 
-		private void measure() {
+		private void measurePartialGangs() {
 			Map<Attempt, Integer> running = new HashMap<>();
 			for (Worker worker : this.workers) {
-				worker.tasks.keySet().forEach((attempt) -> running.merge(attempt, 1, Integer::sum));
+				worker.taskLeaseEnds.keySet().forEach((attempt) -> running.merge(attempt, 1, Integer::sum));
 			}
-			this.partialSince.keySet().removeIf((attempt) -> running.getOrDefault(attempt, 0) % MEMBERS == 0);
+			this.partialSince.keySet().removeIf((attempt) -> running.getOrDefault(attempt, 0) % MEMBER_COUNT == 0);
 			running.forEach((attempt, count) -> {
-				if (count < MEMBERS) {
+				if (count < MEMBER_COUNT) {
 					long since = this.partialSince.computeIfAbsent(attempt, (key) -> this.now);
-					this.longestPartial = Math.max(this.longestPartial, this.now - since);
+					this.longestPartialMillis = Math.max(this.longestPartialMillis, this.now - since);
 				}
 			});
 		}
 
-		private void network(Runnable delivery) {
-			if (this.random.nextDouble() < this.trouble) {
+		private void sendOverNetwork(Runnable delivery) {
+			if (this.random.nextDouble() < this.faultRate) {
 				return;
 			}
-			int copies = (this.random.nextDouble() < this.trouble) ? 2 : 1;
+			int copies = (this.random.nextDouble() < this.faultRate) ? 2 : 1;
 			for (int i = 0; i < copies; i++) {
-				boolean late = this.random.nextDouble() < this.trouble;
-				in(this.random.nextInt(late ? (int) LONGEST_DELAY : 10), delivery);
+				boolean late = this.random.nextDouble() < this.faultRate;
+				schedule(this.random.nextInt(late ? (int) MAX_DELAY_MILLIS : 10), delivery);
 			}
 		}
 
-		private void in(long millis, Runnable action) {
-			this.later.computeIfAbsent(this.now + millis, (at) -> new ArrayList<>()).add(action);
+		private void schedule(long millis, Runnable action) {
+			this.scheduledActions.computeIfAbsent(this.now + millis, (at) -> new ArrayList<>()).add(action);
 		}
 
 		// Prepares, starts when all are held, and begins anew when anything ends or takes
@@ -148,64 +148,64 @@
 
 			private final long epoch;
 
-			private final Set<Integer> held = new HashSet<>();
+			private final Set<Integer> heldMembers = new HashSet<>();
 
 			private Attempt attempt;
 
-			private long since;
+			private long attemptStartedAt;
 
-			private boolean asked;
+			private boolean prepareSent;
 
-			private boolean started;
+			private boolean startSent;
 
 			Holder(long epoch, int number) {
 				this.epoch = epoch;
 				this.attempt = new Attempt(new JobId("job"), number);
-				this.since = World.this.now;
+				this.attemptStartedAt = Simulation.this.now;
 			}
 
 			void step() {
-				boolean pause = World.this.now < this.since + 1_000;
-				if (!this.asked && !pause) {
-					this.asked = true;
-					order((member) -> new MemberEvent.PrepareReceived(this.epoch, this.attempt, member, World.this.spec,
-							false));
+				boolean pausing = Simulation.this.now < this.attemptStartedAt + 1_000;
+				if (!this.prepareSent && !pausing) {
+					this.prepareSent = true;
+					sendOrder((member) -> new MemberEvent.PrepareReceived(this.epoch, this.attempt, member,
+							Simulation.this.spec, false));
 				}
-				else if (!this.started && this.held.size() == MEMBERS) {
-					this.started = true;
-					order((member) -> new MemberEvent.StartReceived(this.epoch, this.attempt, member));
+				else if (!this.startSent && this.heldMembers.size() == MEMBER_COUNT) {
+					this.startSent = true;
+					sendOrder((member) -> new MemberEvent.StartReceived(this.epoch, this.attempt, member));
 				}
-				else if (!this.started && World.this.now - this.since > 3_000) {
-					again();
+				else if (!this.startSent && Simulation.this.now - this.attemptStartedAt > 3_000) {
+					startNextAttempt();
 				}
 			}
 
-			void heard(MemberCommand report) {
+			void handleReport(MemberCommand report) {
 				if (report instanceof MemberCommand.ReportPrepared prepared
 						&& prepared.attempt().equals(this.attempt)) {
-					this.held.add(prepared.member());
+					this.heldMembers.add(prepared.member());
 				}
 				else if (report instanceof MemberCommand.ReportRefused refused
 						&& refused.attempt().equals(this.attempt)) {
-					again();
+					startNextAttempt();
 				}
 				else if (report instanceof MemberCommand.ReportEnded ended && ended.attempt().equals(this.attempt)) {
-					again();
+					startNextAttempt();
 				}
 			}
 
-			private void again() {
-				order((member) -> new MemberEvent.AbortReceived(this.epoch, this.attempt, member));
+			private void startNextAttempt() {
+				sendOrder((member) -> new MemberEvent.AbortReceived(this.epoch, this.attempt, member));
 				this.attempt = new Attempt(this.attempt.job(), this.attempt.number() + 1);
-				this.held.clear();
-				this.asked = false;
-				this.started = false;
-				this.since = World.this.now;
+				this.heldMembers.clear();
+				this.prepareSent = false;
+				this.startSent = false;
+				this.attemptStartedAt = Simulation.this.now;
 			}
 
-			private void order(IntFunction<MemberEvent> event) {
-				for (Worker worker : World.this.workers) {
-					network(() -> worker.on(event.apply(worker.number)));
+			private void sendOrder(IntFunction<MemberEvent> event) {
+				for (Worker worker : Simulation.this.workers) {
+					sendOverNetwork(() -> worker.feed(event.apply(worker.number)));
 				}
 			}
 
@@ -217,16 +217,16 @@
 
 			private final WorkerId id;
 
-			private final MemberKeeper keeper = MemberKeeperFactory.create(POLICY);
+			private final MemberManager manager = MemberManagerFactory.create(POLICY);
 
 			/** Running tasks with the end of the worker's own lease. */
-			private final Map<Attempt, Long> tasks = new HashMap<>();
+			private final Map<Attempt, Long> taskLeaseEnds = new HashMap<>();
 
-			private final List<Runnable> socket = new ArrayList<>();
+			private final List<Runnable> bufferedMessages = new ArrayList<>();
 
 			private long frozenUntil;
 
-			private long beatAt;
+			private long nextHeartbeatAt;
 
 			Worker(int number) {
 				this.number = number;
@@ -234,83 +234,85 @@
 			}
 
 			void step() {
-				new ArrayList<>(this.tasks.entrySet()).forEach((task) -> {
-					if (task.getValue() <= World.this.now) {
-						end(task.getKey(), Ending.STOPPED);
+				new ArrayList<>(this.taskLeaseEnds.entrySet()).forEach((task) -> {
+					if (task.getValue() <= Simulation.this.now) {
+						endTask(task.getKey(), Ending.STOPPED);
 					}
 				});
-				if (World.this.random.nextDouble() < World.this.trouble / 200 && !this.tasks.isEmpty()) {
-					end(this.tasks.keySet().iterator().next(), Ending.WORKER_FAILED);
+				if (Simulation.this.random.nextDouble() < Simulation.this.faultRate / 200
+						&& !this.taskLeaseEnds.isEmpty()) {
+					endTask(this.taskLeaseEnds.keySet().iterator().next(), Ending.WORKER_FAILED);
 				}
-				if (World.this.random.nextDouble() < World.this.trouble / 100) {
-					this.frozenUntil = World.this.now + World.this.random.nextInt(15_000);
+				if (Simulation.this.random.nextDouble() < Simulation.this.faultRate / 100) {
+					this.frozenUntil = Simulation.this.now + Simulation.this.random.nextInt(15_000);
 				}
-				if (World.this.now < this.frozenUntil) {
+				if (Simulation.this.now < this.frozenUntil) {
 					return;
 				}
-				List<Runnable> waiting = new ArrayList<>(this.socket);
-				this.socket.clear();
+				List<Runnable> waiting = new ArrayList<>(this.bufferedMessages);
+				this.bufferedMessages.clear();
 				waiting.forEach(Runnable::run);
-				on(new MemberEvent.ZoneHeard(ZoneState.IN, 1, 3_000));
-				if (World.this.now >= this.beatAt) {
-					this.beatAt = World.this.now + HEARTBEAT;
-					beat();
+				feed(new MemberEvent.ZoneStateReceived(ZoneState.IN, 1, 3_000));
+				if (Simulation.this.now >= this.nextHeartbeatAt) {
+					this.nextHeartbeatAt = Simulation.this.now + HEARTBEAT_INTERVAL_MILLIS;
+					sendHeartbeat();
 				}
 			}
 
-			void on(MemberEvent event) {
-				if (World.this.now < this.frozenUntil) {
-					this.socket.add(() -> on(event));
+			void feed(MemberEvent event) {
+				if (Simulation.this.now < this.frozenUntil) {
+					this.bufferedMessages.add(() -> feed(event));
 					return;
 				}
-				this.keeper.handle(World.this.now, event).forEach(this::carryOut);
+				this.manager.handle(Simulation.this.now, event).forEach(this::execute);
 			}
 
-			private void beat() {
-				long sentAt = World.this.now;
-				List<HeldMember> held = this.keeper.held();
-				for (WholenessTracker entry : World.this.entries) {
-					network(() -> {
-						entry.heard(World.this.now, this.id, held);
-						List<Attempt> whole = entry.wholeAttempts(World.this.now, this.id);
-						network(() -> whole.forEach((attempt) -> reply(attempt, sentAt)));
+			private void sendHeartbeat() {
+				long sentAt = Simulation.this.now;
+				List<HeldMember> held = this.manager.heldMembers();
+				for (RunningGangTracker tracker : Simulation.this.trackers) {
+					sendOverNetwork(() -> {
+						tracker.recordHeartbeat(Simulation.this.now, this.id, held);
+						List<Attempt> fullyRunning = tracker.fullyRunningAttempts(Simulation.this.now, this.id);
+						sendOverNetwork(() -> fullyRunning.forEach((attempt) -> handleReply(attempt, sentAt)));
 					});
 				}
 			}
 
-			private void reply(Attempt attempt, long sentAt) {
-				if (World.this.now < this.frozenUntil) {
-					this.socket.add(() -> reply(attempt, sentAt));
+			private void handleReply(Attempt attempt, long sentAt) {
+				if (Simulation.this.now < this.frozenUntil) {
+					this.bufferedMessages.add(() -> handleReply(attempt, sentAt));
 					return;
 				}
-				on(new MemberEvent.WholeHeard(attempt, World.this.now - sentAt));
+				feed(new MemberEvent.GangConfirmedRunning(attempt, Simulation.this.now - sentAt));
 			}
 
-			private void carryOut(MemberCommand command) {
+			private void execute(MemberCommand command) {
 				long lease = POLICY.taskLease().toMillis();
 				if (command instanceof MemberCommand.StartTask start) {
-					in(World.this.random.nextInt(100), () -> {
-						this.tasks.put(start.attempt(), World.this.now + lease);
-						on(new MemberEvent.TaskRunning(start.attempt(), this.number));
+					schedule(Simulation.this.random.nextInt(100), () -> {
+						this.taskLeaseEnds.put(start.attempt(), Simulation.this.now + lease);
+						feed(new MemberEvent.TaskRunning(start.attempt(), this.number));
 					});
 				}
 				else if (command instanceof MemberCommand.RenewTask renew) {
-					this.tasks.computeIfPresent(renew.attempt(), (key, until) -> World.this.now + lease);
+					this.taskLeaseEnds.computeIfPresent(renew.attempt(), (key, until) -> Simulation.this.now + lease);
 				}
 				else if (command instanceof MemberCommand.SuspendTask suspend) {
-					in(World.this.random.nextInt((int) CHECKPOINT), () -> end(suspend.attempt(), Ending.SUSPENDED));
+					schedule(Simulation.this.random.nextInt((int) MAX_CHECKPOINT_MILLIS),
+							() -> endTask(suspend.attempt(), Ending.SUSPENDED));
 				}
 				else if (command instanceof MemberCommand.StopTask stop) {
-					end(stop.attempt(), Ending.STOPPED);
+					endTask(stop.attempt(), Ending.STOPPED);
 				}
 				else {
-					network(() -> World.this.holder.heard(command));
+					sendOverNetwork(() -> Simulation.this.holder.handleReport(command));
 				}
 			}
 
-			private void end(Attempt attempt, Ending ending) {
-				if (this.tasks.remove(attempt) != null) {
-					in(0, () -> on(new MemberEvent.TaskEnded(attempt, this.number, ending)));
+			private void endTask(Attempt attempt, Ending outcome) {
+				if (this.taskLeaseEnds.remove(attempt) != null) {
+					schedule(0, () -> feed(new MemberEvent.TaskEnded(attempt, this.number, outcome)));
 				}
 			}
 
--- a/core/src/test/java/org/almondmount/term/TermLengthTests.java
+++ b/core/src/test/java/org/almondmount/term/TermLengthTests.java
@@ -6,27 +6,27 @@
 
 class TermLengthTests {
 
-	private static final long LONGEST = 2_000;
+	private static final long MAX_LENGTH_MILLIS = 2_000;
 
-	private final TermLength length = new TermLength(LONGEST);
+	private final TermLength length = new TermLength(MAX_LENGTH_MILLIS);
 
 	@Test
 	void aTermIsShortWhileCommitsAreQuick() {
-		this.length.committed(5);
+		this.length.recordCommit(5);
 		assertThat(this.length.millis()).isEqualTo(1_600);
 	}
 
 	@Test
 	void aTermIsLongWhileCommitsAreSlow() {
-		this.length.committed(500);
-		assertThat(this.length.millis()).isEqualTo(LONGEST);
+		this.length.recordCommit(500);
+		assertThat(this.length.millis()).isEqualTo(MAX_LENGTH_MILLIS);
 	}
 
 	@Test
 	void aTermIsShortAgainSomeCommitsLater() {
-		this.length.committed(500);
+		this.length.recordCommit(500);
 		for (int commit = 0; commit < 10; commit++) {
-			this.length.committed(5);
+			this.length.recordCommit(5);
 		}
 		assertThat(this.length.millis()).isEqualTo(1_600);
 	}
@@ -35,7 +35,7 @@
 	// hundred times slower.
 	@Test
 	void aShortTermOutlastsTheFirstTwoSlowCommits() {
-		this.length.committed(5);
+		this.length.recordCommit(5);
 		long length = this.length.millis();
 		long slowMillis = 650;
 		assertThat(TermLength.renewAfterMillis(length) + slowMillis).isLessThan(TermLength.validForMillis(length));
--- a/core/src/test/java/org/almondmount/term/TermKeeperTests.java
+++ b/core/src/test/java/org/almondmount/term/TermManagerTests.java
@@ -8,42 +8,42 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class TermKeeperTests {
+class TermManagerTests {
 
-	private static final long LENGTH = 2_000;
+	private static final long LENGTH_MILLIS = 2_000;
 
-	private final TermKeeper keeper = new TermKeeper(new TermSettings("me", "10.0.0.1:1", LENGTH));
+	private final TermManager manager = new TermManager(new TermSettings("me", "10.0.0.1:1", LENGTH_MILLIS));
 
 	private long now = 50_000;
 
 	@Test
 	void theFirstEntryTakesTheTermAtOnce() {
-		assertThat(feed(new TermEvent.Tick())).containsExactly(new TermCommand.Look());
+		assertThat(feed(new TermEvent.Tick())).containsExactly(new TermCommand.Read());
 		TermCommand.Commit commit = commitIn(feed(new TermEvent.RowRead(Optional.empty(), 0)));
 		assertThat(commit.expectedVersion()).isZero();
 		assertThat(feed(new TermEvent.Committed(commit.row().commit(), 7))).contains(new TermCommand.Began(1));
 	}
 
 	@Test
-	void aRowOfAnotherHolderIsWatchedForItsWholeLength() {
+	void termIsTakenOnlyAfterTheRowWasUnchangedForItsLength() {
 		feed(new TermEvent.Tick());
-		assertThat(commits(feed(new TermEvent.RowRead(Optional.of(other(4)), 9)))).isEmpty();
-		watchUnchanged(LENGTH - 400);
-		assertThat(this.keeper.epoch()).isZero();
+		assertThat(commits(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9)))).isEmpty();
+		readUnchangedRowFor(LENGTH_MILLIS - 400);
+		assertThat(this.manager.epoch()).isZero();
 		this.now += 500;
 		feed(new TermEvent.Tick());
-		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(other(4)), 9))).row().epoch()).isEqualTo(5);
+		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9))).row().epoch()).isEqualTo(5);
 	}
 
 	// Guards against a dead holder's row that is watched from the first look on, though
 	// the holder spoke of the commit that wrote it long before.
 	@Test
-	void aRowIsUnchangedSinceItsHolderSpokeOfItsCommit() {
+	void rowCountsAsUnchangedSinceItsCommitWasAnnounced() {
 		feed(new TermEvent.Tick());
-		feed(new TermEvent.RowRead(Optional.of(other(4)), 9));
-		TermRow later = committed(4, 77);
-		feed(new TermEvent.HolderHeard(4, 77));
-		this.now += LENGTH - 100;
+		feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9));
+		TermRow later = otherRowWithCommit(4, 77);
+		feed(new TermEvent.HolderAnnounced(4, 77));
+		this.now += LENGTH_MILLIS - 100;
 		assertThat(commits(feed(new TermEvent.RowRead(Optional.of(later), 10)))).isEmpty();
 		this.now += 200;
 		TermEvent.RowRead unchanged = new TermEvent.RowRead(Optional.of(later), 10);
@@ -51,12 +51,12 @@
 	}
 
 	@Test
-	void aCommitOfWhichItsHolderDidNotSpeakIsWatchedFromTheLookOn() {
+	void rowOfAnUnannouncedCommitCountsAsUnchangedSinceItWasRead() {
 		feed(new TermEvent.Tick());
-		feed(new TermEvent.RowRead(Optional.of(other(4)), 9));
-		feed(new TermEvent.HolderHeard(4, 76));
-		this.now += LENGTH - 100;
-		TermEvent.RowRead read = new TermEvent.RowRead(Optional.of(committed(4, 77)), 10);
+		feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9));
+		feed(new TermEvent.HolderAnnounced(4, 76));
+		this.now += LENGTH_MILLIS - 100;
+		TermEvent.RowRead read = new TermEvent.RowRead(Optional.of(otherRowWithCommit(4, 77)), 10);
 		feed(read);
 		this.now += 200;
 		assertThat(commits(feed(read))).isEmpty();
@@ -65,27 +65,27 @@
 	// The holder says that it gives the term up, because the store turns it away. Callers
 	// wait until somebody decides again, so nobody watches the row any longer.
 	@Test
-	void aTermThatItsHolderGaveUpIsTakenAtOnce() {
+	void resignedTermIsTakenAtOnce() {
 		feed(new TermEvent.Tick());
-		feed(new TermEvent.RowRead(Optional.of(other(4)), 9));
-		List<TermCommand> commands = feed(new TermEvent.HolderQuit(4));
-		assertThat(commands).contains(new TermCommand.Look());
-		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(other(4)), 9))).row().epoch()).isEqualTo(5);
+		feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9));
+		List<TermCommand> commands = feed(new TermEvent.HolderResigned(4));
+		assertThat(commands).contains(new TermCommand.Read());
+		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9))).row().epoch()).isEqualTo(5);
 	}
 
 	@Test
-	void aWordOfAnEarlierEpochGivesNothingUp() {
+	void resignationOfAnEarlierEpochIsIgnored() {
 		feed(new TermEvent.Tick());
-		feed(new TermEvent.RowRead(Optional.of(other(4)), 9));
-		feed(new TermEvent.HolderQuit(3));
-		assertThat(commits(feed(new TermEvent.RowRead(Optional.of(other(4)), 9)))).isEmpty();
+		feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9));
+		feed(new TermEvent.HolderResigned(3));
+		assertThat(commits(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9)))).isEmpty();
 	}
 
 	// A commit takes effect and its answer is lost. Sent again unchanged it meets its own
 	// number in the row, and what it kept counts as kept.
 	@Test
-	void aCommitWhoseAnswerWasLostIsFoundByItsNumber() {
-		hold();
+	void commitWithLostAnswerIsRecognizedByItsNumber() {
+		takeTerm();
 		TermCommand.Commit commit = commitIn(feed(new TermEvent.Save(11)));
 		TermCommand.Commit again = commitIn(feed(new TermEvent.Unanswered(commit.row().commit())));
 		assertThat(again).isEqualTo(commit);
@@ -96,8 +96,8 @@
 	// Guards against a store that resets each call and is called a hundred times a
 	// second.
 	@Test
-	void aCommitThatWasUnansweredTwiceWaitsBeforeItIsSentAgain() {
-		hold();
+	void commitUnansweredTwiceIsRetriedAfterAPause() {
+		takeTerm();
 		long commit = commitIn(feed(new TermEvent.Save(11))).row().commit();
 		commitIn(feed(new TermEvent.Unanswered(commit)));
 		assertThat(commits(feed(new TermEvent.Unanswered(commit)))).isEmpty();
@@ -106,22 +106,23 @@
 	}
 
 	@Test
-	void aHolderWhoseRowAnotherOneWroteDecidesNoMore() {
-		hold();
+	void holderLosesItsTermWhenAnotherEntryWroteTheRow() {
+		takeTerm();
 		TermCommand.Commit commit = commitIn(feed(new TermEvent.Save(11)));
-		assertThat(feed(new TermEvent.Conflict(commit.row().commit(), Optional.of(other(9)), 30)))
+		assertThat(feed(new TermEvent.Conflict(commit.row().commit(), Optional.of(otherRow(9)), 30)))
 			.anyMatch(TermCommand.Ended.class::isInstance);
-		assertThat(this.keeper.validUntilMillis()).isEqualTo(TermKeeper.NEVER);
+		assertThat(this.manager.validUntilMillis()).isEqualTo(TermManager.NOT_HELD);
 	}
 
 	@Test
-	void aHolderWhomTheStoreTurnsAwayGivesTheTermUp() {
-		hold();
+	void holderResignsWhenItsCommitsAreRefused() {
+		takeTerm();
 		TermCommand.Commit commit = commitIn(feed(new TermEvent.Save(11)));
 		boolean ended = false;
 		for (int i = 0; i < 20 && !ended; i++) {
 			this.now += 50;
-			ended = ends(feed(new TermEvent.Refused(commit.row().commit()))) || ends(feed(new TermEvent.Tick()));
+			ended = containsEnded(feed(new TermEvent.CommitRefused(commit.row().commit())))
+					|| containsEnded(feed(new TermEvent.Tick()));
 		}
 		assertThat(ended).isTrue();
 	}
@@ -129,107 +130,107 @@
 	// The store takes the commit and never answers. The answer is waited for longer each
 	// time; the holder does not wait for the end of such a wait to give the term up.
 	@Test
-	void aHolderWhomTheStoreLeavesWaitingGivesTheTermUp() {
-		hold();
+	void holderResignsWhenTheStoreDoesNotAnswer() {
+		takeTerm();
 		feed(new TermEvent.Save(11));
 		long sent = this.now;
 		boolean ended = false;
-		while (!ended && this.now < sent + LENGTH) {
+		while (!ended && this.now < sent + LENGTH_MILLIS) {
 			this.now += 50;
-			ended = ends(feed(new TermEvent.Tick()));
+			ended = containsEnded(feed(new TermEvent.Tick()));
 		}
-		assertThat(this.now - sent).isLessThan(LENGTH / 2);
+		assertThat(this.now - sent).isLessThan(LENGTH_MILLIS / 2);
 	}
 
 	// Guards against a holder that waits for a slow store no longer than for a silent
 	// one, and leaves the term to entries that have to commit to the same store.
 	@Test
-	void aHolderWhomTheStoreAnswersSlowlyKeepsTheTerm() {
-		hold();
+	void holderKeepsItsTermWhileTheStoreIsSlow() {
+		takeTerm();
 		TermCommand.Commit commit = commitIn(feed(new TermEvent.Save(11)));
 		this.now += 600;
-		feed(new TermEvent.Delayed(commit.row().commit()));
+		feed(new TermEvent.CommitDelayed(commit.row().commit()));
 		this.now += 1_300;
-		assertThat(ends(feed(new TermEvent.Tick()))).isFalse();
+		assertThat(containsEnded(feed(new TermEvent.Tick()))).isFalse();
 		assertThat(feed(new TermEvent.Committed(commit.row().commit(), 30))).contains(new TermCommand.Saved(11));
 	}
 
 	// Guards against a holder that decides after a pause: it does not before its term is
 	// renewed, and never where another entry took the term.
 	@Test
-	void aPausedHolderDecidesNothingUntilItsTermIsRenewed() {
-		hold();
-		this.now += LENGTH;
+	void termOfAPausedHolderIsInvalidUntilRenewed() {
+		takeTerm();
+		this.now += LENGTH_MILLIS;
 		TermCommand.Commit renewal = commitIn(feed(new TermEvent.Tick()));
-		assertThat(this.keeper.validUntilMillis()).isLessThan(this.now);
+		assertThat(this.manager.validUntilMillis()).isLessThan(this.now);
 		feed(new TermEvent.Committed(renewal.row().commit(), 30));
-		assertThat(this.keeper.validUntilMillis()).isGreaterThan(this.now);
+		assertThat(this.manager.validUntilMillis()).isGreaterThan(this.now);
 	}
 
 	@Test
-	void aPausedHolderWhoseTermWasTakenDecidesNoMore() {
-		hold();
-		this.now += LENGTH;
+	void pausedHolderLosesATermThatWasTaken() {
+		takeTerm();
+		this.now += LENGTH_MILLIS;
 		TermCommand.Commit renewal = commitIn(feed(new TermEvent.Tick()));
-		assertThat(feed(new TermEvent.Conflict(renewal.row().commit(), Optional.of(other(9)), 30)))
+		assertThat(feed(new TermEvent.Conflict(renewal.row().commit(), Optional.of(otherRow(9)), 30)))
 			.anyMatch(TermCommand.Ended.class::isInstance);
-		assertThat(this.keeper.validUntilMillis()).isEqualTo(TermKeeper.NEVER);
+		assertThat(this.manager.validUntilMillis()).isEqualTo(TermManager.NOT_HELD);
 	}
 
 	@Test
-	void aRestartedProcessTakesTheTermOfItsFormerLifeAtOnce() {
+	void restartedProcessTakesTheTermOfItsPreviousRunAtOnce() {
 		feed(new TermEvent.Tick());
-		TermRow former = new TermRow("me-before", "10.0.0.1:1", 4, 8, LENGTH, false);
+		TermRow former = new TermRow("me-before", "10.0.0.1:1", 4, 8, LENGTH_MILLIS, false);
 		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(former), 9))).row().epoch()).isEqualTo(5);
 	}
 
 	// Guards against a term that nobody holds because its holder is gone before it heard
 	// that it took it.
 	@Test
-	void aTermThatIsTakenByAnEntryThatIsToldToEndIsGivenUpAtOnce() {
+	void termTakenDuringShutdownIsReleasedAtOnce() {
 		feed(new TermEvent.Tick());
 		TermCommand.Commit take = commitIn(feed(new TermEvent.RowRead(Optional.empty(), 0)));
 		assertThat(feed(new TermEvent.Release())).isEmpty();
 		List<TermCommand> taken = feed(new TermEvent.Committed(take.row().commit(), 7));
 		assertThat(taken).noneMatch(TermCommand.Began.class::isInstance);
-		assertThat(this.keeper.validUntilMillis()).isEqualTo(TermKeeper.NEVER);
+		assertThat(this.manager.validUntilMillis()).isEqualTo(TermManager.NOT_HELD);
 		TermCommand.Commit release = commitIn(taken);
 		assertThat(release.row().released()).isTrue();
 		assertThat(feed(new TermEvent.Committed(release.row().commit(), 8))).contains(new TermCommand.Released(1));
 	}
 
 	@Test
-	void anEntryThatIsToldToEndDoesNotWaitForATermThatAnotherOneTook() {
+	void shutdownDoesNotWaitForATermTakenByAnotherEntry() {
 		feed(new TermEvent.Tick());
 		TermCommand.Commit take = commitIn(feed(new TermEvent.RowRead(Optional.empty(), 0)));
 		feed(new TermEvent.Release());
-		assertThat(feed(new TermEvent.Conflict(take.row().commit(), Optional.of(other(1)), 7)))
+		assertThat(feed(new TermEvent.Conflict(take.row().commit(), Optional.of(otherRow(1)), 7)))
 			.contains(new TermCommand.Released(0));
 	}
 
-	private void hold() {
+	private void takeTerm() {
 		feed(new TermEvent.Tick());
 		TermCommand.Commit commit = commitIn(feed(new TermEvent.RowRead(Optional.empty(), 0)));
 		feed(new TermEvent.Committed(commit.row().commit(), 7));
 	}
 
-	private void watchUnchanged(long millis) {
+	private void readUnchangedRowFor(long millis) {
 		for (long until = this.now + millis; this.now < until; this.now += 100) {
-			if (feed(new TermEvent.Tick()).contains(new TermCommand.Look())) {
-				assertThat(commits(feed(new TermEvent.RowRead(Optional.of(other(4)), 9)))).isEmpty();
+			if (feed(new TermEvent.Tick()).contains(new TermCommand.Read())) {
+				assertThat(commits(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9)))).isEmpty();
 			}
 		}
 	}
 
-	private static TermRow other(long epoch) {
-		return committed(epoch, 1);
+	private static TermRow otherRow(long epoch) {
+		return otherRowWithCommit(epoch, 1);
 	}
 
-	private static TermRow committed(long epoch, long commit) {
-		return new TermRow("other", "10.0.0.2:1", epoch, commit, LENGTH, false);
+	private static TermRow otherRowWithCommit(long epoch, long commit) {
+		return new TermRow("other", "10.0.0.2:1", epoch, commit, LENGTH_MILLIS, false);
 	}
 
-	private static boolean ends(List<TermCommand> commands) {
+	private static boolean containsEnded(List<TermCommand> commands) {
 		return commands.stream().anyMatch(TermCommand.Ended.class::isInstance);
 	}
 
@@ -249,7 +250,7 @@
 	}
 
 	private List<TermCommand> feed(TermEvent event) {
-		return this.keeper.handle(this.now, event);
+		return this.manager.handle(this.now, event);
 	}
 
 }
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/LeaseDriver.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/LeaseDriver.java
@@ -14,10 +14,10 @@
 import org.almondmount.daemon.entry.store.Rows.EpochRow;
 import org.almondmount.lease.LeaseCommand;
 import org.almondmount.lease.LeaseEvent;
-import org.almondmount.lease.LeaseKeeper;
+import org.almondmount.lease.LeaseManager;
 import org.almondmount.lease.LeaseRow;
 import org.almondmount.lease.LeaseSettings;
-import org.almondmount.lease.impl.ObservedLeaseKeeper;
+import org.almondmount.lease.impl.ObservedLeaseManager;
 import org.almondmount.model.EntryId;
 import org.almondmount.services.TableService.CommitResult;
 import org.almondmount.services.TableService.Condition;
@@ -42,7 +42,7 @@
 
 	private final Listener listener;
 
-	private final LeaseKeeper keeper;
+	private final LeaseManager keeper;
 
 	private final Alarm alarm;
 
@@ -55,9 +55,9 @@
 		this.mailbox = mailbox;
 		this.listener = listener;
 		this.leaseKey = Keys.lease(context.settings().region());
-		this.keeper = new ObservedLeaseKeeper(new LeaseSettings(context.self(), context.peerAddress(),
+		this.keeper = new ObservedLeaseManager(new LeaseSettings(context.self(), context.peerAddress(),
 				context.settings().timing().schedulerLease().toMillis()));
-		this.alarm = new Alarm(context.timer(), context.clock(), mailbox, () -> feed(new LeaseEvent.TimePassed()));
+		this.alarm = new Alarm(context.timer(), context.clock(), mailbox, () -> feed(new LeaseEvent.Tick()));
 	}
 
 	void start() {
@@ -70,8 +70,8 @@
 	 * @return milliseconds, 0 if it may not
 	 */
 	long remainingMillis() {
-		long until = this.keeper.mayActUntilMillis();
-		if (until == LeaseKeeper.NEVER) {
+		long until = this.keeper.validUntilMillis();
+		if (until == LeaseManager.NOT_HELD) {
 			return 0;
 		}
 		return Math.max(0, until - this.context.clock().millis());
@@ -110,7 +110,7 @@
 			this.listener.becameHolder(became.epoch());
 		}
 		else if (command instanceof LeaseCommand.SteppedDown stepped) {
-			LOG.warn("lease-lost", "epoch", stepped.epoch(), "why", stepped.why());
+			LOG.warn("lease-lost", "epoch", stepped.epoch(), "why", stepped.reason());
 			this.context.telemetry().count("lease.lost");
 			this.listener.steppedDown(stepped.epoch());
 		}
@@ -132,11 +132,11 @@
 			EpochRow epoch = new EpochRow(commit.row().epoch(), this.context.self());
 			writes.add(new Write(Keys.epoch(this.context.settings().region()), Optional.of(Json.write(epoch))));
 		}
-		String token = this.context.self() + ".lease-" + commit.commit();
+		String token = this.context.self() + ".lease-" + commit.commitNumber();
 		this.context.table()
 			.commit(new Transaction(token, List.of(new Condition(this.leaseKey, commit.expectedVersion())), writes))
 			.thenAccept((result) -> this.mailbox
-				.deliver(() -> feed(new LeaseEvent.CommitEnded(commit.commit(), ending(result)))));
+				.deliver(() -> feed(new LeaseEvent.CommitEnded(commit.commitNumber(), ending(result)))));
 	}
 
 	private void found(ReadResult<Optional<Row>> read) {
@@ -159,14 +159,14 @@
 		}
 	}
 
-	private static LeaseEvent.Ending ending(CommitResult result) {
+	private static LeaseEvent.CommitOutcome ending(CommitResult result) {
 		if (result instanceof CommitResult.Committed) {
-			return LeaseEvent.Ending.COMMITTED;
+			return LeaseEvent.CommitOutcome.COMMITTED;
 		}
 		if (result instanceof CommitResult.Unknown) {
-			return LeaseEvent.Ending.UNKNOWN;
+			return LeaseEvent.CommitOutcome.UNKNOWN;
 		}
-		return LeaseEvent.Ending.NOT_COMMITTED;
+		return LeaseEvent.CommitOutcome.NOT_COMMITTED;
 	}
 
 	/**
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/TargetTalk.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/TargetTalk.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.almondmount.daemon.entry.shell.EntryContext;
-import org.almondmount.gang.WholenessTracker;
+import org.almondmount.gang.RunningGangTracker;
 import org.almondmount.jobs.Attempt;
 import org.almondmount.jobs.JobEvent;
 import org.almondmount.membership.EntryDirectory;
@@ -27,7 +27,7 @@
 
 	private final EntryDirectory directory;
 
-	private final WholenessTracker wholeness;
+	private final RunningGangTracker wholeness;
 
 	private final long lostAfterMillis;
 
@@ -39,7 +39,7 @@
 		this.configuration = configuration;
 		this.directory = directory;
 		this.lostAfterMillis = context.settings().peer().heartbeatTimeout().toMillis();
-		this.wholeness = new WholenessTracker(this.lostAfterMillis);
+		this.wholeness = new RunningGangTracker(this.lostAfterMillis);
 	}
 
 	void opened(PeerConnection connection) {
@@ -51,7 +51,7 @@
 		boolean leaving = this.peers.workerOf(connection).filter(this.peers::isLeaving).isPresent();
 		long now = this.context.clock().millis();
 		this.peers.targetClosed(now, connection).ifPresent((worker) -> {
-			this.wholeness.lost(worker);
+			this.wholeness.removeWorker(worker);
 			if (leaving) {
 				feed(new JobEvent.WorkerLost(worker));
 			}
@@ -86,7 +86,7 @@
 
 	private void heartbeat(PeerConnection connection, WorkerId worker, Message.Heartbeat heartbeat) {
 		long now = this.context.clock().millis();
-		this.wholeness.heard(now, worker, heartbeat.members());
+		this.wholeness.recordHeartbeat(now, worker, heartbeat.members());
 		List<Attempt> forgotten = this.scheduling.term()
 			.map((term) -> term.heard(worker, heartbeat.members()))
 			.orElse(List.of());
@@ -95,7 +95,7 @@
 		}
 		this.configuration.revisionSeen(heartbeat.revision(), connection.peer().name());
 		connection.send(new Message.HeartbeatReply(heartbeat.sequence(), this.configuration.revision(),
-				this.scheduling.zonesFreshForMillis(), this.wholeness.wholeAttempts(now, worker), forgotten,
+				this.scheduling.zonesFreshForMillis(), this.wholeness.fullyRunningAttempts(now, worker), forgotten,
 				this.directory.passOn()));
 	}
 
--- a/daemon/src/main/java/org/almondmount/daemon/target/MemberShell.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/MemberShell.java
@@ -6,7 +6,7 @@
 import org.almondmount.gang.HeldMember;
 import org.almondmount.gang.MemberCommand;
 import org.almondmount.gang.MemberEvent;
-import org.almondmount.gang.MemberKeeper;
+import org.almondmount.gang.MemberManager;
 import org.almondmount.jobs.Attempt;
 import org.almondmount.telemetry.EventLog;
 import org.almondmount.wire.Message;
@@ -18,7 +18,7 @@
 
 	private static final EventLog LOG = EventLog.of(MemberShell.class);
 
-	private final MemberKeeper keeper;
+	private final MemberManager keeper;
 
 	private final WorkerTasks tasks;
 
@@ -26,7 +26,7 @@
 
 	private boolean drained;
 
-	MemberShell(MemberKeeper keeper, WorkerTasks tasks, Consumer<Message> toEveryEntry) {
+	MemberShell(MemberManager keeper, WorkerTasks tasks, Consumer<Message> toEveryEntry) {
 		this.keeper = keeper;
 		this.tasks = tasks;
 		this.toEveryEntry = toEveryEntry;
@@ -37,11 +37,11 @@
 	}
 
 	long epoch() {
-		return this.keeper.epoch();
+		return this.keeper.highestEpoch();
 	}
 
 	List<HeldMember> held() {
-		return this.keeper.held();
+		return this.keeper.heldMembers();
 	}
 
 	void handle(long now, MemberEvent event) {
@@ -84,8 +84,8 @@
 		}
 		else if (command instanceof MemberCommand.ReportRefused refused) {
 			LOG.info("member-refused", "job", refused.attempt().job(), "attempt", refused.attempt().number(), "member",
-					refused.member(), "why", refused.why());
-			report(refused.attempt(), refused.member(), Message.Report.REFUSED, refused.why());
+					refused.member(), "why", refused.reason());
+			report(refused.attempt(), refused.member(), Message.Report.REFUSED, refused.reason());
 		}
 		else if (command instanceof MemberCommand.ReportStarted started) {
 			report(started.attempt(), started.member(), Message.Report.STARTED, "");
@@ -94,7 +94,7 @@
 			report(checkpointed.attempt(), checkpointed.member(), Message.Report.CHECKPOINTED, "");
 		}
 		else if (command instanceof MemberCommand.ReportEnded ended) {
-			this.toEveryEntry.accept(new Message.MemberEnded(ended.attempt(), ended.member(), ended.ending()));
+			this.toEveryEntry.accept(new Message.MemberEnded(ended.attempt(), ended.member(), ended.outcome()));
 		}
 		else if (command instanceof MemberCommand.ReportUsage usage) {
 			this.toEveryEntry.accept(new Message.MemberUsage(usage.attempt(), usage.member(), usage.used()));
--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDaemon.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDaemon.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 import org.almondmount.duty.Duty;
-import org.almondmount.gang.MemberKeeper;
-import org.almondmount.gang.MemberKeeperFactory;
+import org.almondmount.gang.MemberManager;
+import org.almondmount.gang.MemberManagerFactory;
 import org.almondmount.gang.MemberPolicy;
 import org.almondmount.http.HttpClient;
 import org.almondmount.services.WorkerClient;
@@ -158,12 +158,12 @@
 		}
 	}
 
-	private static MemberKeeper keeper(TargetSettings settings) {
+	private static MemberManager keeper(TargetSettings settings) {
 		MemberPolicy policy = MemberPolicy.DEFAULT.withCapacity(settings.worker().capacity())
 			.withPrepareHold(settings.timing().prepareHold())
 			.withGangTimeout(settings.timing().gangTimeout())
 			.withTaskLease(settings.timing().taskLease());
-		return MemberKeeperFactory.create(policy);
+		return MemberManagerFactory.create(policy);
 	}
 
 	private static Thread tickThread(Runnable work) {
--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
@@ -197,9 +197,10 @@
 		}
 		this.slots.handle(now, new SlotEvent.LoanSeen(link.entry(), beat.get().loans()));
 		reply.entries().forEach((address) -> this.entries.heardOf(now, address));
-		reply.forgotten().forEach((attempt) -> this.members.handle(now, new MemberEvent.Forgotten(attempt)));
+		reply.forgotten().forEach((attempt) -> this.members.handle(now, new MemberEvent.EndRecorded(attempt)));
 		long age = now - beat.get().sentAt();
-		reply.wholeAttempts().forEach((attempt) -> this.members.handle(now, new MemberEvent.WholeHeard(attempt, age)));
+		reply.wholeAttempts()
+			.forEach((attempt) -> this.members.handle(now, new MemberEvent.GangConfirmedRunning(attempt, age)));
 		boolean behind = !this.configurationKnown || reply.revision() > this.configuration.revision();
 		if (behind) {
 			if (link.mayAskForConfiguration(now, ASK_CONFIGURATION_EVERY_MILLIS)) {
@@ -231,12 +232,12 @@
 	private void zoneHeard(long now, long freshFor) {
 		ZoneState state = this.configuration.zone(this.settings.worker().zone());
 		this.slots.handle(now, new SlotEvent.ZoneHeard(state));
-		this.members.handle(now, new MemberEvent.ZoneHeard(state, this.configuration.revision(), freshFor));
+		this.members.handle(now, new MemberEvent.ZoneStateReceived(state, this.configuration.revision(), freshFor));
 	}
 
 	private void tick(long now) {
 		this.slots.handle(now, new SlotEvent.TimePassed());
-		this.members.handle(now, new MemberEvent.TimePassed());
+		this.members.handle(now, new MemberEvent.Tick());
 		if (now >= this.beatAt) {
 			this.beatAt = now + this.settings.timing().heartbeat().toMillis();
 			this.entries.links().forEach((link) -> beat(now, link));
@@ -267,7 +268,7 @@
 	private void drain(long now) {
 		LOG.info("drain", "inUse", this.slots.inUse());
 		this.slots.handle(now, new SlotEvent.Draining());
-		this.members.handle(now, new MemberEvent.Draining());
+		this.members.handle(now, new MemberEvent.DrainRequested());
 	}
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/WorkerCalls.java
+++ b/fleet/src/main/java/org/almondmount/fleet/WorkerCalls.java
@@ -14,22 +14,22 @@
 	/**
 	 * Looks at the worker and renews its lease.
 	 * @param look what to ask
-	 * @return {@link WorkerEvent.Looked} or {@link WorkerEvent.LookFailed}
+	 * @return {@link WorkerEvent.PollAnswered} or {@link WorkerEvent.PollFailed}
 	 */
-	CompletableFuture<WorkerEvent> look(WorkerCommand.Look look);
+	CompletableFuture<WorkerEvent> look(WorkerCommand.Poll look);
 
 	/**
 	 * Has a run begin.
 	 * @param start what to begin
 	 * @return what came of it
 	 */
-	CompletableFuture<WorkerEvent.StartEnded> start(WorkerCommand.Start start);
+	CompletableFuture<WorkerEvent.StartCallEnded> start(WorkerCommand.Start start);
 
 	/**
 	 * Has a run end.
 	 * @param stop what to end
 	 * @return what came of it
 	 */
-	CompletableFuture<WorkerEvent.StopEnded> stop(WorkerCommand.Stop stop);
+	CompletableFuture<WorkerEvent.StopCallEnded> stop(WorkerCommand.Stop stop);
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
@@ -18,7 +18,7 @@
 import org.almondmount.telemetry.Telemetry;
 import org.almondmount.term.TermCommand;
 import org.almondmount.term.TermEvent;
-import org.almondmount.term.TermKeeper;
+import org.almondmount.term.TermManager;
 import org.almondmount.term.TermRow;
 import org.almondmount.term.TermSettings;
 
@@ -31,7 +31,7 @@
 
 	private static final long TICK_MILLIS = 50;
 
-	private final TermKeeper keeper;
+	private final TermManager keeper;
 
 	private final RowStore store;
 
@@ -61,7 +61,7 @@
 	 */
 	TermDriver(TermSettings settings, RowStore store, Loop loop, StorePatience patience, Telemetry telemetry,
 			LongFunction<List<Write>> saves, Listener listener) {
-		this.keeper = new TermKeeper(settings);
+		this.keeper = new TermManager(settings);
 		this.store = store;
 		this.loop = loop;
 		this.telemetry = telemetry;
@@ -92,7 +92,7 @@
 	 * @return its number, 0 where there is none
 	 */
 	long keptCommit() {
-		return this.keeper.keptCommit();
+		return this.keeper.lastStoredCommit();
 	}
 
 	/**
@@ -123,7 +123,7 @@
 			this.holder = Optional.of(heard);
 			this.listener.holderSeen(heard);
 		}
-		feed(new TermEvent.HolderHeard(epoch, commit));
+		feed(new TermEvent.HolderAnnounced(epoch, commit));
 	}
 
 	/**
@@ -131,7 +131,7 @@
 	 * @param epoch the epoch
 	 */
 	void holderQuit(long epoch) {
-		feed(new TermEvent.HolderQuit(epoch));
+		feed(new TermEvent.HolderResigned(epoch));
 	}
 
 	void holderLost() {
@@ -141,7 +141,7 @@
 	/** The store answers again. A commit that it has not answered may only be slow. */
 	void storeAnswers() {
 		if (this.patience.answersQuickly()) {
-			feed(new TermEvent.StoreAnswers());
+			feed(new TermEvent.StoreRecovered());
 		}
 	}
 
@@ -155,7 +155,7 @@
 	}
 
 	private void carryOut(TermCommand command) {
-		if (command instanceof TermCommand.Look) {
+		if (command instanceof TermCommand.Read) {
 			long sentAt = this.loop.steadyMillis();
 			this.loop.then(this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, this.patience.timeout()),
 					(read) -> looked(sentAt, read));
@@ -171,7 +171,7 @@
 		}
 		else if (command instanceof TermCommand.Ended ended) {
 			this.telemetry.count("term.ended");
-			LOG.warn("term-ended", "epoch", ended.epoch(), "why", ended.why());
+			LOG.warn("term-ended", "epoch", ended.epoch(), "why", ended.reason());
 			this.listener.ended(ended.epoch());
 		}
 		else if (command instanceof TermCommand.Saved saved) {
@@ -207,8 +207,8 @@
 	private void commit(TermCommand.Commit commit) {
 		List<Write> writes = new ArrayList<>();
 		writes.add(new Write(Tables.TERM, Optional.of(RecordCodec.write(commit.row()))));
-		if (commit.save() != 0) {
-			writes.addAll(this.saves.apply(commit.save()));
+		if (commit.saveSequence() != 0) {
+			writes.addAll(this.saves.apply(commit.saveSequence()));
 		}
 		CommitCall call = new CommitCall(commit.row(), writes, this.loop.steadyMillis());
 		this.loop.then(this.store.commit(List.of(new Condition(Tables.TERM, commit.expectedVersion())), writes,
@@ -251,7 +251,7 @@
 			sendAgain(call);
 		}
 		else {
-			feed(new TermEvent.Delayed(call.row.commit()));
+			feed(new TermEvent.CommitDelayed(call.row.commit()));
 			this.loop.after(this.patience.timeout().toMillis(), () -> overdue(call));
 		}
 	}
@@ -286,7 +286,7 @@
 		else if (ending instanceof RowStore.Commit.Refused refused) {
 			storeSilent(refused.why());
 			explain(call, "refused", refused.why());
-			feed(new TermEvent.Refused(number));
+			feed(new TermEvent.CommitRefused(number));
 		}
 		else if (ending instanceof RowStore.Commit.Unanswered unanswered) {
 			unanswered(call, unanswered.why());
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
@@ -9,7 +9,7 @@
 import org.almondmount.fleet.WorkerCalls;
 import org.almondmount.worker.WorkerCommand;
 import org.almondmount.worker.WorkerEvent;
-import org.almondmount.worker.WorkerEvent.CallEnding;
+import org.almondmount.worker.WorkerEvent.CallOutcome;
 import org.almondmount.workflow.RunEnding;
 import org.almondmount.workflow.WorkerLife;
 import org.almondmount.workflow.WorkerReport.Ended;
@@ -37,8 +37,8 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<WorkerEvent> look(WorkerCommand.Look look) {
-		this.ended.removeIf((end) -> end.number() <= look.acknowledged());
+	public synchronized CompletableFuture<WorkerEvent> look(WorkerCommand.Poll look) {
+		this.ended.removeIf((end) -> end.number() <= look.acknowledgedEnd());
 		List<Running> running = new ArrayList<>();
 		for (WorkerCommand.Start start : List.copyOf(this.looks.keySet())) {
 			int seen = this.looks.merge(start, 1, Integer::sum);
@@ -49,21 +49,22 @@
 			}
 			running.add(new Running(start.task(), start.run(), "saved-" + seen, seen * PERCENT_A_LOOK));
 		}
-		return CompletableFuture.completedFuture(
-				new WorkerEvent.Looked(look.look(), this.life, System.currentTimeMillis(), running, this.ended));
+		return CompletableFuture.completedFuture(new WorkerEvent.PollAnswered(look.pollNumber(), this.life,
+				System.currentTimeMillis(), running, this.ended));
 	}
 
 	@Override
-	public synchronized CompletableFuture<WorkerEvent.StartEnded> start(WorkerCommand.Start start) {
+	public synchronized CompletableFuture<WorkerEvent.StartCallEnded> start(WorkerCommand.Start start) {
 		this.looks.put(start, 0);
 		return CompletableFuture
-			.completedFuture(new WorkerEvent.StartEnded(start.task(), start.run(), CallEnding.DONE, ""));
+			.completedFuture(new WorkerEvent.StartCallEnded(start.task(), start.run(), CallOutcome.DONE, ""));
 	}
 
 	@Override
-	public synchronized CompletableFuture<WorkerEvent.StopEnded> stop(WorkerCommand.Stop stop) {
+	public synchronized CompletableFuture<WorkerEvent.StopCallEnded> stop(WorkerCommand.Stop stop) {
 		this.looks.keySet().removeIf((start) -> start.task().equals(stop.task()) && start.run() == stop.run());
-		return CompletableFuture.completedFuture(new WorkerEvent.StopEnded(stop.task(), stop.run(), CallEnding.DONE));
+		return CompletableFuture
+			.completedFuture(new WorkerEvent.StopCallEnded(stop.task(), stop.run(), CallOutcome.DONE));
 	}
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -23,7 +23,7 @@
 import org.almondmount.worker.IgnoredReason;
 import org.almondmount.worker.WorkerCommand;
 import org.almondmount.worker.WorkerEvent;
-import org.almondmount.worker.WorkerKeeper;
+import org.almondmount.worker.WorkerManager;
 import org.almondmount.worker.WorkerPolicy;
 import org.almondmount.workflow.WorkerDescription;
 import org.almondmount.workflow.WorkerReport;
@@ -68,7 +68,7 @@
 
 	private final PeerInfo self;
 
-	private final WorkerKeeper keeper;
+	private final WorkerManager keeper;
 
 	private final HolderSearch search;
 
@@ -95,7 +95,7 @@
 		this.self = new PeerInfo(PeerInfo.Role.TARGET, settings.name(), "", settings.zone(), Optional.empty(), 0,
 				loop.wallMillis());
 		this.search = new HolderSearch(settings.name(), this::dial);
-		this.keeper = new WorkerKeeper(settings.name(), WorkerPolicy.DEFAULT);
+		this.keeper = new WorkerManager(settings.name(), WorkerPolicy.DEFAULT);
 	}
 
 	/** Begins. */
@@ -113,7 +113,7 @@
 	 * @param announcement counts what this life of the worker announces
 	 */
 	public void described(WorkerDescription description, long announcement) {
-		this.loop.run(() -> feed(new WorkerEvent.Described(description, announcement)));
+		this.loop.run(() -> feed(new WorkerEvent.WorkerAnnounced(description, announcement)));
 	}
 
 	/**
@@ -121,7 +121,7 @@
 	 * @param worker the worker
 	 */
 	public void left(String worker) {
-		this.loop.run(() -> feed(new WorkerEvent.Left(worker)));
+		this.loop.run(() -> feed(new WorkerEvent.WorkerLeaving(worker)));
 	}
 
 	@Override
@@ -135,16 +135,16 @@
 	}
 
 	private void carryOut(WorkerCommand command) {
-		if (command instanceof WorkerCommand.Look look) {
+		if (command instanceof WorkerCommand.Poll look) {
 			this.loop.then(this.worker.look(look), this::feed);
 		}
 		else if (command instanceof WorkerCommand.Start start) {
-			LOG.info("start-sent", "task", start.task(), "run", start.run(), "life", start.life(), "epoch",
+			LOG.info("start-sent", "task", start.task(), "run", start.run(), "life", start.incarnation(), "epoch",
 					start.epoch(), "leaseUntil", start.leaseUntilMillis());
 			this.telemetry.count("runs.start");
 			this.loop.then(this.worker.start(start), (ended) -> {
-				LOG.info("start-answered", "task", ended.task(), "run", ended.run(), "ending", ended.ending(), "why",
-						ended.why());
+				LOG.info("start-answered", "task", ended.task(), "run", ended.run(), "ending", ended.outcome(), "why",
+						ended.reason());
 				feed(ended);
 			});
 		}
@@ -159,19 +159,19 @@
 		else if (command instanceof WorkerCommand.SendReport report) {
 			send(new Message.WorkerTold(report.report()));
 		}
-		else if (command instanceof WorkerCommand.SendNotBegun refused) {
-			LOG.info("run-not-begun", "task", refused.task(), "run", refused.run(), "why", refused.why());
-			send(new Message.RunNotBegun(refused.task(), refused.run(), refused.why()));
+		else if (command instanceof WorkerCommand.SendRunNotStarted refused) {
+			LOG.info("run-not-begun", "task", refused.task(), "run", refused.run(), "why", refused.reason());
+			send(new Message.RunNotBegun(refused.task(), refused.run(), refused.reason()));
 		}
 		else if (command instanceof WorkerCommand.IgnoreOrder ignored) {
-			this.telemetry.count(IGNORED, ignored.why());
-			LOG.info("order-ignored", "order", ignored.order(), "task", ignored.task(), "run", ignored.run(), "epoch",
-					ignored.epoch(), "why", ignored.why());
+			this.telemetry.count(IGNORED, ignored.reason());
+			LOG.info("order-ignored", "order", ignored.orderKind(), "task", ignored.task(), "run", ignored.run(),
+					"epoch", ignored.epoch(), "why", ignored.reason());
 		}
 		else if (command instanceof WorkerCommand.CountCrash crash) {
 			crashed(crash);
 		}
-		else if (command instanceof WorkerCommand.Explain explain) {
+		else if (command instanceof WorkerCommand.LogDecision explain) {
 			LOG.info(explain.event(), explain.keysAndValues());
 		}
 	}
@@ -240,7 +240,7 @@
 		if (word.holder()) {
 			if (this.search.holds(connection, word.epoch())) {
 				LOG.info("holder-found", "entry", connection.peer().name(), "epoch", word.epoch());
-				feed(new WorkerEvent.HolderFound(word.epoch()));
+				feed(new WorkerEvent.HolderConnected(word.epoch()));
 			}
 		}
 		else if (this.search.holdsNot(connection)) {
@@ -251,7 +251,7 @@
 	private void ordered(Message message) {
 		if (message instanceof Message.LeaseGranted granted) {
 			this.search.learnt(granted.entries());
-			feed(new WorkerEvent.Granted(granted.epoch(), granted.heartbeat(), granted.leaseMillis()));
+			feed(new WorkerEvent.LeaseGranted(granted.epoch(), granted.heartbeat(), granted.leaseMillis()));
 		}
 		else if (message instanceof Message.RunStart start) {
 			feed(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.life(), start.task(), start.run(),
@@ -261,7 +261,7 @@
 			feed(new WorkerEvent.StopOrdered(stop.epoch(), stop.life(), stop.task(), stop.run()));
 		}
 		else if (message instanceof Message.EndsKept kept) {
-			feed(new WorkerEvent.EndsKept(kept.epoch(), kept.life(), kept.upTo()));
+			feed(new WorkerEvent.EndsRecorded(kept.epoch(), kept.life(), kept.upTo()));
 		}
 	}
 
@@ -273,7 +273,7 @@
 
 	private void holderGone(String why) {
 		LOG.warn("dependency-lost", "what", "holder", "why", why);
-		feed(new WorkerEvent.HolderGone());
+		feed(new WorkerEvent.HolderDisconnected());
 		searchHolder();
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -13,7 +13,7 @@
 import org.almondmount.fleet.WorkerCalls;
 import org.almondmount.worker.WorkerCommand;
 import org.almondmount.worker.WorkerEvent;
-import org.almondmount.worker.WorkerEvent.CallEnding;
+import org.almondmount.worker.WorkerEvent.CallOutcome;
 import org.almondmount.workflow.ResourceAmount;
 import org.almondmount.workflow.RunEnding;
 import org.almondmount.workflow.TaskId;
@@ -181,43 +181,43 @@
 	}
 
 	@Override
-	public CompletableFuture<WorkerEvent> look(WorkerCommand.Look look) {
+	public CompletableFuture<WorkerEvent> look(WorkerCommand.Poll look) {
 		CompletableFuture<WorkerEvent> answer = new CompletableFuture<>();
-		boolean other = !look.life().worker().isEmpty() && !look.life().worker().equals(this.name);
+		boolean other = !look.incarnation().worker().isEmpty() && !look.incarnation().worker().equals(this.name);
 		if (away()) {
-			this.time.after(1, () -> answer.complete(new WorkerEvent.LookFailed(look.look(), "refused")));
+			this.time.after(1, () -> answer.complete(new WorkerEvent.PollFailed(look.pollNumber(), "refused")));
 			return answer;
 		}
 		if (other) {
-			answer.complete(new WorkerEvent.LookFailed(look.look(), "another life"));
+			answer.complete(new WorkerEvent.PollFailed(look.pollNumber(), "another life"));
 			return answer;
 		}
-		this.time.after(1, () -> answerLook(look, this.time.now() + look.waitMillis(), answer, true));
+		this.time.after(1, () -> answerLook(look, this.time.now() + look.maxWaitMillis(), answer, true));
 		return answer;
 	}
 
 	@Override
-	public CompletableFuture<WorkerEvent.StartEnded> start(WorkerCommand.Start start) {
-		CompletableFuture<WorkerEvent.StartEnded> answer = new CompletableFuture<>();
+	public CompletableFuture<WorkerEvent.StartCallEnded> start(WorkerCommand.Start start) {
+		CompletableFuture<WorkerEvent.StartCallEnded> answer = new CompletableFuture<>();
 		long meant = this.born;
 		long calledAt = this.time.now();
 		perform(() -> {
 			String refusal = (meant == this.born) ? begin(start, calledAt) : "another life";
-			CallEnding ending = refusal.isEmpty() ? CallEnding.DONE : CallEnding.REFUSED;
-			answer.complete(new WorkerEvent.StartEnded(start.task(), start.run(), ending, refusal));
+			CallOutcome ending = refusal.isEmpty() ? CallOutcome.DONE : CallOutcome.REFUSED;
+			answer.complete(new WorkerEvent.StartCallEnded(start.task(), start.run(), ending, refusal));
 		}, () -> answer
-			.complete(new WorkerEvent.StartEnded(start.task(), start.run(), CallEnding.UNANSWERED, "no answer")));
+			.complete(new WorkerEvent.StartCallEnded(start.task(), start.run(), CallOutcome.UNANSWERED, "no answer")));
 		return answer;
 	}
 
 	@Override
-	public CompletableFuture<WorkerEvent.StopEnded> stop(WorkerCommand.Stop stop) {
-		CompletableFuture<WorkerEvent.StopEnded> answer = new CompletableFuture<>();
+	public CompletableFuture<WorkerEvent.StopCallEnded> stop(WorkerCommand.Stop stop) {
+		CompletableFuture<WorkerEvent.StopCallEnded> answer = new CompletableFuture<>();
 		long meant = this.born;
 		perform(() -> {
-			CallEnding ending = (meant == this.born && end(stop)) ? CallEnding.DONE : CallEnding.REFUSED;
-			answer.complete(new WorkerEvent.StopEnded(stop.task(), stop.run(), ending));
-		}, () -> answer.complete(new WorkerEvent.StopEnded(stop.task(), stop.run(), CallEnding.UNANSWERED)));
+			CallOutcome ending = (meant == this.born && end(stop)) ? CallOutcome.DONE : CallOutcome.REFUSED;
+			answer.complete(new WorkerEvent.StopCallEnded(stop.task(), stop.run(), ending));
+		}, () -> answer.complete(new WorkerEvent.StopCallEnded(stop.task(), stop.run(), CallOutcome.UNANSWERED)));
 		return answer;
 	}
 
@@ -277,18 +277,18 @@
 		return true;
 	}
 
-	private void answerLook(WorkerCommand.Look look, long until, CompletableFuture<WorkerEvent> answer, boolean first) {
+	private void answerLook(WorkerCommand.Poll look, long until, CompletableFuture<WorkerEvent> answer, boolean first) {
 		if (first) {
 			boolean obeyed = look.epoch() >= this.fence;
 			this.fence = Math.max(this.fence, look.epoch());
-			if (obeyed && look.life().equals(life())) {
+			if (obeyed && look.incarnation().equals(life())) {
 				this.leaseUntil = Math.max(this.leaseUntil, look.leaseUntilMillis());
-				this.ended.headMap(look.acknowledged(), true).values().forEach(this::acknowledged);
-				this.ended.headMap(look.acknowledged(), true).clear();
+				this.ended.headMap(look.acknowledgedEnd(), true).values().forEach(this::acknowledged);
+				this.ended.headMap(look.acknowledgedEnd(), true).clear();
 			}
 		}
 		if (away()) {
-			answer.complete(new WorkerEvent.LookFailed(look.look(), "gone"));
+			answer.complete(new WorkerEvent.PollFailed(look.pollNumber(), "gone"));
 			return;
 		}
 		if (this.time.now() < until && this.ended.isEmpty()) {
@@ -299,8 +299,8 @@
 		this.running.values()
 			.forEach((run) -> runs
 				.add(new WorkerReport.Running(run.task, run.run, "", this.checker.percent(run.task, run.run))));
-		answer.complete(
-				new WorkerEvent.Looked(look.look(), life(), this.time.now(), runs, List.copyOf(this.ended.values())));
+		answer.complete(new WorkerEvent.PollAnswered(look.pollNumber(), life(), this.time.now(), runs,
+				List.copyOf(this.ended.values())));
 	}
 
 	// An end after which the lease ran out does not count: whoever ordered the run had
