--- a/core/src/main/java/org/almondmount/gang/MemberCommand.java
+++ b/core/src/main/java/org/almondmount/gang/MemberCommand.java
@@ -6,58 +6,59 @@
 import org.almondmount.model.Resources;
 
 /**
- * Everything that a worker's member keeper asks its driver to do. Reports go to every
- * connected entry; the lease holder uses them.
+ * The commands that the member manager of a worker returns to its driver. Reports go to
+ * every connected entry; the lease holder uses them.
  */
 public sealed interface MemberCommand {
 
-	/** Report: held. */
+	/** Reports that capacity for the member is held. */
 	record ReportPrepared(Attempt attempt, int member) implements MemberCommand {
 	}
 
-	/** Report: not held, and nothing of it ran here. */
+	/** Reports that the member is not held and that no task of it ran here. */
 	record ReportRefused(Attempt attempt, int member, String reason) implements MemberCommand {
 	}
 
-	/** Start the task on the worker under a lease that has to be renewed. */
+	/** Starts the task on the worker under a lease that has to be renewed. */
 	record StartTask(Attempt attempt, int member, JobSpec spec, boolean fromCheckpoint) implements MemberCommand {
 	}
 
-	/** Renew the worker's lease for the task. */
+	/** Renews the worker's lease for the task. */
 	record RenewTask(Attempt attempt, int member) implements MemberCommand {
 	}
 
-	/** Have the worker checkpoint and then end the task. */
+	/** Makes the worker checkpoint and then end the task. */
 	record SuspendTask(Attempt attempt, int member) implements MemberCommand {
 	}
 
-	/** Have the worker end the task now. */
+	/** Makes the worker end the task at once. */
 	record StopTask(Attempt attempt, int member) implements MemberCommand {
 	}
 
-	/** Have the worker slow the task down. */
+	/** Makes the worker slow the task down. */
 	record ThrottleTask(Attempt attempt, int member) implements MemberCommand {
 	}
 
-	/** Report: it runs. */
+	/** Reports that the task runs. */
 	record ReportStarted(Attempt attempt, int member) implements MemberCommand {
 	}
 
-	/** Report: checkpointed. */
+	/** Reports that the task finished a checkpoint. */
 	record ReportCheckpointed(Attempt attempt, int member) implements MemberCommand {
 	}
 
 	/**
-	 * Report: over. Repeated until an entry acknowledges it by forgetting the attempt.
+	 * Reports that the task ended. Repeated until an entry acknowledges it with
+	 * {@link MemberEvent.EndRecorded}.
 	 */
 	record ReportEnded(Attempt attempt, int member, Ending outcome) implements MemberCommand {
 	}
 
-	/** Report: usage. */
+	/** Reports the resource usage of the task. */
 	record ReportUsage(Attempt attempt, int member, Resources used) implements MemberCommand {
 	}
 
-	/** Every task here is over: the process may end. */
+	/** Every task on this worker has ended; the process may exit. */
 	record Drained() implements MemberCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/gang/MemberManager.java
+++ b/core/src/main/java/org/almondmount/gang/MemberManager.java
@@ -3,27 +3,26 @@
 import java.util.List;
 
 /**
- * The entrance to a worker's decisions about gang members. Deterministic; not
- * thread-safe.
+ * Manages the gang members of one worker. Deterministic; not thread-safe.
  */
 public interface MemberManager {
 
 	/**
-	 * Takes one event.
+	 * Handles one event.
 	 * @param nowMillis the driver's monotonic time in milliseconds
-	 * @param event what happened
-	 * @return what is to be done, in order
+	 * @param event the event
+	 * @return the commands to execute, in order
 	 */
 	List<MemberCommand> handle(long nowMillis, MemberEvent event);
 
 	/**
-	 * The members that are held or running here, for heartbeats.
+	 * Returns the members that are held or running on this worker, for heartbeats.
 	 * @return the members
 	 */
 	List<HeldMember> heldMembers();
 
 	/**
-	 * The highest epoch whose orders were seen, for heartbeats.
+	 * Returns the highest epoch from which an order was received, for heartbeats.
 	 * @return the epoch, 0 before the first order
 	 */
 	long highestEpoch();
--- a/core/src/main/java/org/almondmount/gang/MemberManagerFactory.java
+++ b/core/src/main/java/org/almondmount/gang/MemberManagerFactory.java
@@ -3,7 +3,7 @@
 import org.almondmount.gang.impl.DefaultMemberManager;
 
 /**
- * Makes member keepers.
+ * Creates member managers.
  */
 public final class MemberManagerFactory {
 
@@ -11,9 +11,10 @@
 	}
 
 	/**
-	 * Makes a keeper that holds nothing and starts nothing until it has heard its zone.
+	 * Creates a manager without members. It starts no task until it has received the
+	 * state of its zone.
 	 * @param policy its options
-	 * @return the keeper
+	 * @return the manager
 	 */
 	public static MemberManager create(MemberPolicy policy) {
 		return new DefaultMemberManager(policy);
--- a/core/src/main/java/org/almondmount/gang/MemberPolicy.java
+++ b/core/src/main/java/org/almondmount/gang/MemberPolicy.java
@@ -5,23 +5,24 @@
 import org.almondmount.model.Resources;
 
 /**
- * The options of a member keeper. Immutable; changed by its with-methods.
+ * The options of a member manager. Immutable; the with-methods return changed copies.
  *
- * @param capacity everything that the worker has
- * @param prepareHold how long room is held for a member that is not started
- * @param gangTimeout how long a member runs without hearing that its gang is whole
+ * @param capacity the total capacity of the worker
+ * @param prepareHold how long capacity is held for a member that is not started
+ * @param gangTimeout how long a member runs without confirmation that its gang is fully
+ * running
  * @param taskLease the lease under which the worker runs a task
  * @param suspendTimeout how long a task may take to checkpoint before it is stopped
  * @param reportInterval interval at which reports are repeated
  * @param startedReportPeriod how long the report of a start is repeated
- * @param fenceRetention how long the highest given-up attempt of a job is known
- * @param maxFencedJobs jobs of which that is known at the same time
+ * @param fenceRetention how long the highest fenced attempt of a job is remembered
+ * @param maxFencedJobs maximum number of jobs with a remembered fenced attempt
  */
 public record MemberPolicy(Resources capacity, Duration prepareHold, Duration gangTimeout, Duration taskLease,
 		Duration suspendTimeout, Duration reportInterval, Duration startedReportPeriod, Duration fenceRetention,
 		int maxFencedJobs) {
 
-	/** The options that hold where nothing else is said, for a worker without room. */
+	/** The defaults, for a worker without capacity. */
 	public static final MemberPolicy DEFAULT = new MemberPolicy(Resources.NONE, Duration.ofSeconds(5),
 			Duration.ofSeconds(6), Duration.ofSeconds(6), Duration.ofSeconds(10), Duration.ofSeconds(1),
 			Duration.ofSeconds(10), Duration.ofMinutes(10), 65_536);
@@ -52,8 +53,8 @@
 	}
 
 	/**
-	 * Interval at which the worker's lease is renewed: two renewals may fail before it
-	 * runs out.
+	 * Returns the interval at which the worker's lease is renewed. Two renewals in a row
+	 * may fail before the lease expires.
 	 * @return a third of the lease
 	 */
 	public Duration renewalInterval() {
--- a/core/src/main/java/org/almondmount/gang/RunningGangTracker.java
+++ b/core/src/main/java/org/almondmount/gang/RunningGangTracker.java
@@ -9,13 +9,14 @@
 import org.almondmount.model.WorkerId;
 
 /**
- * Tells which attempts are heard whole at one entry. Deterministic; not thread-safe.
+ * Determines which attempts are fully running, by the heartbeats that one entry receives.
+ * Deterministic; not thread-safe.
  * <p>
- * An attempt is whole while every one of its members was heard running within the bound.
- * A held member does not count: were a mix of held and running members whole, a gang
- * whose start reached only half of it would keep its running half alive for as long as
- * the other half is held again and again. Members that run have the gang timeout from
- * their own start, which is time enough for the others to start.
+ * An attempt is fully running while every one of its members was reported running by a
+ * heartbeat that is still valid. A held member does not count. Otherwise a gang whose
+ * start order reached only half of its members would keep that half running alone for as
+ * long as the other half is prepared again and again. Members that run have the gang
+ * timeout from their own start, which leaves the others enough time to start.
  */
 public final class RunningGangTracker {
 
@@ -26,8 +27,8 @@
 	private final Map<WorkerId, List<HeldMember>> membersByWorker = new HashMap<>();
 
 	/**
-	 * Makes a tracker that has heard nothing.
-	 * @param heartbeatValidityMillis how long what a heartbeat said is believed, in
+	 * Creates a tracker without heartbeats.
+	 * @param heartbeatValidityMillis how long the content of a heartbeat is valid, in
 	 * milliseconds
 	 */
 	public RunningGangTracker(long heartbeatValidityMillis) {
@@ -35,10 +36,11 @@
 	}
 
 	/**
-	 * Takes what a worker's heartbeat says; it replaces what the last one said.
+	 * Records the content of a worker's heartbeat, which replaces that of the previous
+	 * one.
 	 * @param nowMillis the time
 	 * @param worker the worker
-	 * @param members all that it holds and runs
+	 * @param members all members that it holds or runs
 	 */
 	public void recordHeartbeat(long nowMillis, WorkerId worker, List<HeldMember> members) {
 		removeMembers(worker);
@@ -53,7 +55,7 @@
 	}
 
 	/**
-	 * The connection to a worker is gone.
+	 * Removes a worker to which the connection was lost.
 	 * @param worker the worker
 	 */
 	public void removeWorker(WorkerId worker) {
@@ -61,10 +63,11 @@
 	}
 
 	/**
-	 * Whether every member of the attempt was heard running within the bound.
+	 * Returns whether every member of the attempt was reported running by a valid
+	 * heartbeat.
 	 * @param nowMillis the time
 	 * @param attempt the attempt
-	 * @return true if it is whole
+	 * @return true if it is fully running
 	 */
 	public boolean isFullyRunning(long nowMillis, Attempt attempt) {
 		Gang gang = this.gangs.get(attempt);
@@ -72,8 +75,8 @@
 	}
 
 	/**
-	 * The attempts that a worker takes part in and that are whole, for the reply to its
-	 * heartbeat.
+	 * Returns the fully running attempts in which a worker takes part, for the reply to
+	 * its heartbeat.
 	 * @param nowMillis the time
 	 * @param worker the worker
 	 * @return the attempts, each once
--- a/core/src/main/java/org/almondmount/gang/impl/AttemptFences.java
+++ b/core/src/main/java/org/almondmount/gang/impl/AttemptFences.java
@@ -8,11 +8,12 @@
 import org.almondmount.model.JobId;
 
 /**
- * The highest attempt of each job that was given up. Bounded; not thread-safe.
+ * The highest fenced attempt of each job; no order for it or an earlier attempt is
+ * accepted. Bounded; not thread-safe.
  * <p>
- * An abort can overtake the order that it takes back, and a copy of an old order can come
- * late. Without a fence the old attempt would start beside its successor: the job would
- * run twice, one of them partially.
+ * An abort can overtake the order that it revokes, and a duplicate of an old order can
+ * arrive late. Without a fence the old attempt would start beside its successor: the job
+ * would run twice, once of them partially.
  */
 final class AttemptFences {
 
@@ -28,7 +29,7 @@
 	}
 
 	/**
-	 * Gives up an attempt and all before it.
+	 * Fences an attempt and all earlier ones of its job.
 	 * @param now the time
 	 * @param attempt the attempt
 	 */
@@ -45,9 +46,9 @@
 	}
 
 	/**
-	 * Whether another job may be taken on: with a full memory its abort could be
-	 * forgotten.
-	 * @return false when the memory is full
+	 * Returns whether another job may be accepted. At full capacity a later abort of the
+	 * job could not be remembered.
+	 * @return false if the table is full
 	 */
 	boolean hasCapacity() {
 		return this.fences.size() < this.maxJobs;
--- a/core/src/main/java/org/almondmount/gang/impl/DefaultMemberManager.java
+++ b/core/src/main/java/org/almondmount/gang/impl/DefaultMemberManager.java
@@ -18,11 +18,11 @@
 import org.almondmount.model.Resources;
 
 /**
- * The member keeper. Deterministic; not thread-safe.
+ * The member manager. Deterministic; not thread-safe.
  * <p>
- * Every event first lets time pass. A process that was frozen therefore finds out that
- * its leases, holds and view of the zone have run out before it acts on anything that
- * waited in its sockets.
+ * The timers are processed before each event. A process that was frozen therefore notices
+ * that its leases, its holds and the state of the zone have expired before it handles
+ * anything that was buffered in its sockets.
  */
 public final class DefaultMemberManager implements MemberManager {
 
@@ -126,8 +126,8 @@
 		}
 	}
 
-	// A holder that was paused past its lease goes on with what it was about to send. Its
-	// epoch is lower than its successor's, whose orders have been seen here.
+	// A holder that was paused past the end of its lease may still send orders. Its epoch
+	// is lower than that of its successor, whose orders were received here.
 	private boolean acceptsEpoch(long orderEpoch) {
 		if (orderEpoch < this.highestEpoch) {
 			return false;
@@ -195,7 +195,7 @@
 		return Optional.empty();
 	}
 
-	// Two attempts of one job side by side would run it twice.
+	// Two attempts of one job at the same time would run it twice.
 	private void fenceEarlierAttempts(long now, Attempt attempt) {
 		for (MemberRecord member : List.copyOf(this.members.values())) {
 			boolean earlier = member.attempt().job().equals(attempt.job())
@@ -289,7 +289,8 @@
 				this.members.remove(new MemberKey(attempt, member.member()));
 				continue;
 			}
-			// Its end is on record, so whatever of it is left here must not go on.
+			// The end of the attempt is recorded, so any member of it that is left here
+			// must not continue.
 			this.fences.fence(now, attempt);
 			release(now, member, "its attempt is over");
 		}
@@ -325,9 +326,9 @@
 		}
 	}
 
-	// This process was replaced while the task ran. Whether its gang is whole and what
-	// the task needs is not known here, so that the task is checkpointed and ended; its
-	// report has the job placed again from there.
+	// This process was restarted while the task ran. It does not know what the task needs
+	// or whether its gang is fully running, so the task is checkpointed and ended. The
+	// report of its end lets the job be placed again from that checkpoint.
 	private void suspendUnknownTask(long now, Attempt attempt, int number) {
 		MemberRecord member = new MemberRecord(attempt, number, Optional.empty(), false);
 		member.enterPhase(now, Phase.RUNNING, now);
@@ -376,8 +377,8 @@
 			}
 			case SUSPENDING -> stop(now, member);
 			case STOPPING -> {
-				// The worker says nothing of it, and its lease ran out long ago without a
-				// renewal.
+				// The worker does not report the task, and its lease expired long ago
+				// without a renewal.
 				member.recordEnd(now, Ending.UNKNOWN);
 				sendReport(now, member);
 			}
@@ -428,8 +429,8 @@
 		sendReport(now, member);
 	}
 
-	// An order or report can be lost on the way; repeating it until the next phase is
-	// enough because each is harmless twice.
+	// Orders and reports can be lost on the way. They are idempotent, so it is enough to
+	// repeat them until the next phase.
 	private void sendReport(long now, MemberRecord member) {
 		member.scheduleReport(now + this.policy.reportInterval().toMillis());
 		Attempt attempt = member.attempt();
--- a/core/src/main/java/org/almondmount/gang/impl/MemberKey.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberKey.java
@@ -5,7 +5,7 @@
 import org.almondmount.jobs.Attempt;
 
 /**
- * What a member at this worker is known by.
+ * Identifies a member on this worker.
  *
  * @param attempt the attempt
  * @param member the member's number
--- a/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
@@ -8,7 +8,7 @@
 import org.almondmount.model.JobSpec;
 
 /**
- * One member at this worker. Not thread-safe.
+ * One member on this worker. Not thread-safe.
  */
 final class MemberRecord {
 
@@ -50,7 +50,8 @@
 	}
 
 	/**
-	 * The job; empty for a task that was found running and that nobody here started.
+	 * Returns the job; empty for a task that was found running and was not started by
+	 * this process.
 	 * @return the job
 	 */
 	Optional<JobSpec> spec() {
@@ -69,7 +70,7 @@
 	 * Enters a phase.
 	 * @param now the time
 	 * @param newPhase the phase
-	 * @param newDeadline when it has to be left again
+	 * @param newDeadline when the phase has to end
 	 */
 	void enterPhase(long now, Phase newPhase, long newDeadline) {
 		this.phase = newPhase;
@@ -144,29 +145,37 @@
 	}
 
 	/**
-	 * Where a member stands.
+	 * The phase of a member.
 	 */
 	enum Phase {
 
-		/** Room is held; the deadline ends the hold. */
+		/** Capacity is held; the hold expires at the deadline. */
 		HELD,
 
-		/** The worker was told to start; the deadline is the gang lease's. */
+		/**
+		 * The worker was ordered to start the task; the deadline is the end of the gang
+		 * lease.
+		 */
 		STARTING,
 
-		/** The worker says that it runs; the deadline is the gang lease's. */
+		/**
+		 * The worker reports that the task runs; the deadline is the end of the gang
+		 * lease.
+		 */
 		RUNNING,
 
-		/** The worker was told to suspend; at the deadline it is stopped. */
+		/**
+		 * The worker was ordered to suspend the task, which is stopped at the deadline.
+		 */
 		SUSPENDING,
 
 		/**
-		 * The worker was told to stop and its lease is not renewed any more; at the
-		 * deadline the lease has run out for certain.
+		 * The worker was ordered to stop the task and its lease is no longer renewed; at
+		 * the deadline the lease has certainly expired.
 		 */
 		STOPPING,
 
-		/** Over; reported until an entry forgets the attempt. */
+		/** The task ended; reported until an entry has recorded the end. */
 		ENDED
 
 	}
--- a/core/src/main/java/org/almondmount/gang/impl/RecordedAttempts.java
+++ b/core/src/main/java/org/almondmount/gang/impl/RecordedAttempts.java
@@ -6,8 +6,8 @@
 import org.almondmount.jobs.Attempt;
 
 /**
- * Attempts whose end is on record, so that a worker that still lists them is not reported
- * again. Bounded; not thread-safe.
+ * Attempts whose end an entry has recorded. If the worker still lists one of them, it is
+ * not reported again. Bounded; not thread-safe.
  */
 final class RecordedAttempts {
 
@@ -21,7 +21,7 @@
 
 	void add(Attempt attempt) {
 		this.attempts.add(attempt);
-		// Forgetting the oldest costs no more than one needless report.
+		// Evicting the oldest attempt costs at most one redundant report.
 		if (this.attempts.size() > this.maxAttempts) {
 			this.attempts.remove(this.attempts.iterator().next());
 		}
--- a/core/src/main/java/org/almondmount/gang/impl/ZoneView.java
+++ b/core/src/main/java/org/almondmount/gang/impl/ZoneView.java
@@ -3,7 +3,7 @@
 import org.almondmount.model.ZoneState;
 
 /**
- * The state of the worker's own zone as last heard, and until when it may be used. Not
+ * The last received state of the worker's own zone, and until when it may be used. Not
  * thread-safe.
  */
 final class ZoneView {
@@ -15,12 +15,13 @@
 	private long validUntil = Long.MIN_VALUE;
 
 	/**
-	 * Takes what an entry said; an entry that is behind says nothing of use, neither
-	 * about the state nor about its freshness.
+	 * Updates the state from an entry. If the entry has an older revision, both its state
+	 * and its validity are ignored.
 	 * @param now the time
 	 * @param newState the state
 	 * @param newRevision the revision at which it was declared
-	 * @param validForMillis how much longer it may be used to start work, in milliseconds
+	 * @param validForMillis how much longer it may be used to start tasks, in
+	 * milliseconds
 	 */
 	void update(long now, ZoneState newState, long newRevision, long validForMillis) {
 		if (newRevision < this.revision) {
--- a/core/src/main/java/org/almondmount/gang/package-info.java
+++ b/core/src/main/java/org/almondmount/gang/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The decisions about gang members at a worker: holding, starting, the gang lease and
- * fencing of old attempts and epochs; and the entry's half that tells members their gang
- * is whole. No I/O.
+ * Manages gang members on a worker: holds, starts, the gang lease, and the fencing of old
+ * attempts and epochs; and tracks on an entry which gangs are fully running. No I/O.
  */
 package org.almondmount.gang;
--- a/core/src/main/java/org/almondmount/lease/LeaseCommand.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseCommand.java
@@ -3,26 +3,26 @@
 import org.almondmount.model.EntryId;
 
 /**
- * Everything that the lease keeper asks its driver to do. At most one read or commit is
- * outstanding at a time.
+ * The commands that the lease manager returns to its driver. At most one read or commit
+ * is outstanding at a time.
  */
 public sealed interface LeaseCommand {
 
 	/**
-	 * Read the row; answer with {@link LeaseEvent.RowRead} or
+	 * Reads the row; answered with {@link LeaseEvent.RowRead} or
 	 * {@link LeaseEvent.ReadFailed}.
 	 */
 	record Read() implements LeaseCommand {
 	}
 
 	/**
-	 * Write the row on the condition that it is at that version; answer with
+	 * Writes the row if it is at the expected version; answered with
 	 * {@link LeaseEvent.CommitEnded}.
 	 *
-	 * @param commitNumber matches the answer
+	 * @param commitNumber identifies the commit in its answer
 	 * @param row the new row
 	 * @param expectedVersion the version, 0 for no row
-	 * @param takeover whether the epoch is new with it
+	 * @param takeover whether the row has a new epoch
 	 */
 	record Commit(long commitNumber, LeaseRow row, long expectedVersion, boolean takeover) implements LeaseCommand {
 	}
@@ -31,19 +31,19 @@
 	record BecameHolder(long epoch) implements LeaseCommand {
 	}
 
-	/** This entry no longer holds the lease and may do nothing under that epoch. */
+	/** This entry no longer holds the lease and must not act under that epoch. */
 	record SteppedDown(long epoch, String reason) implements LeaseCommand {
 	}
 
-	/** Another entry is seen to hold the lease. */
+	/** A row that was read names another entry as holder of the lease. */
 	record HolderSeen(EntryId holder, long epoch, String address) implements LeaseCommand {
 	}
 
-	/** The lease was given up, or was not held: the process may end. */
+	/** The lease was released or was not held; the process may exit. */
 	record Released() implements LeaseCommand {
 	}
 
-	/** Send {@link LeaseEvent.Tick} at this time at the latest. */
+	/** Asks for {@link LeaseEvent.Tick} at this time at the latest. */
 	record WakeAt(long atMillis) implements LeaseCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/lease/LeaseEvent.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseEvent.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * Everything that the lease keeper is told.
+ * The events that the lease manager handles.
  */
 public sealed interface LeaseEvent {
 
 	/**
-	 * The row as it was at some moment between the read command and this event.
+	 * The row at some time between the read command and this event.
 	 *
 	 * @param row empty if there is none
 	 * @param version the row's version, 0 if there is none
@@ -20,20 +20,20 @@
 	record ReadFailed() implements LeaseEvent {
 	}
 
-	/** A commit came to its end, as far as this entry can tell. */
+	/** A commit ended, with the outcome that is known to this entry. */
 	record CommitEnded(long commitNumber, CommitOutcome outcome) implements LeaseEvent {
 	}
 
-	/** Give the lease up if it is held, and never take it again. */
+	/** Releases the lease if it is held; it is not taken again. */
 	record Release() implements LeaseEvent {
 	}
 
-	/** The moment asked for by {@link LeaseCommand.WakeAt}, or any regular tick. */
+	/** The time requested by {@link LeaseCommand.WakeAt}, or any regular tick. */
 	record Tick() implements LeaseEvent {
 	}
 
 	/**
-	 * How a commit ended.
+	 * The outcome of a commit.
 	 */
 	enum CommitOutcome {
 
@@ -43,7 +43,7 @@
 		/** It did not take effect and never will. */
 		NOT_COMMITTED,
 
-		/** It may have taken effect, or may still do so. */
+		/** It may have taken effect, or may do so later. */
 		UNKNOWN
 
 	}
--- a/core/src/main/java/org/almondmount/lease/LeaseRow.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseRow.java
@@ -3,16 +3,17 @@
 import org.almondmount.model.EntryId;
 
 /**
- * The row that says who holds the scheduler's lease. Immutable.
+ * The row that names the holder of the scheduler's lease. Immutable.
  *
- * @param holder the entry that wrote it last
- * @param epoch grows by one with each takeover
+ * @param holder the entry that wrote the row
+ * @param epoch incremented by each takeover
  * @param lengthMillis how long an observer has to see the row unchanged before it may
- * take it over
- * @param commit the number of the holder's commit that wrote it, so that a holder can
- * tell which of its own commits took effect
+ * take the lease over
+ * @param commit the number of the holder's commit that wrote the row, by which a holder
+ * recognizes which of its own commits took effect
  * @param address where the holder accepts peers
- * @param released whether the holder gave it up, so that nobody has to wait
+ * @param released whether the holder released the lease, so that it may be taken over at
+ * once
  */
 public record LeaseRow(EntryId holder, long epoch, long lengthMillis, long commit, String address, boolean released) {
 
--- a/core/src/main/java/org/almondmount/lease/LeaseSettings.java
+++ b/core/src/main/java/org/almondmount/lease/LeaseSettings.java
@@ -4,7 +4,7 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * How an entry takes part in the lease. Immutable.
+ * The settings with which an entry takes part in the lease. Immutable.
  *
  * @param self this run of this entry; never used by another run
  * @param address where this entry accepts peers
@@ -12,7 +12,7 @@
  */
 public record LeaseSettings(EntryId self, String address, long lengthMillis) {
 
-	/** The shortest lease that leaves room for a renewal. */
+	/** The shortest lease that leaves time for a renewal. */
 	public static final long MIN_LENGTH_MILLIS = 200;
 
 	private static final int RENEWALS_PER_LENGTH = 4;
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * The interval between renewals, and between an observer's reads.
+	 * Returns the interval between renewals, and between an observer's reads.
 	 * @return milliseconds
 	 */
 	public long renewalIntervalMillis() {
@@ -35,9 +35,9 @@
 	}
 
 	/**
-	 * How long after sending a renewal the holder may act. Shorter than the length by an
-	 * eighth: two machines' monotonic clocks run at slightly different rates, and an
-	 * eighth is more than any clock drifts within one length.
+	 * Returns how long after sending a renewal the holder may act. It is an eighth
+	 * shorter than the length: monotonic clocks of two machines run at slightly different
+	 * rates, and no clock drifts by an eighth within one length.
 	 * @return milliseconds
 	 */
 	public long validForMillis() {
--- a/core/src/main/java/org/almondmount/lease/impl/ObservedLeaseManager.java
+++ b/core/src/main/java/org/almondmount/lease/impl/ObservedLeaseManager.java
@@ -13,14 +13,14 @@
 import org.almondmount.lease.LeaseSettings;
 
 /**
- * A lease keeper that takes the lease over only after it has observed the row unchanged
- * for the lease's whole length by its own clock. Deterministic; not thread-safe.
+ * A lease manager that takes the lease over only after it has observed the row unchanged
+ * for the whole length of the lease by its own clock. Deterministic; not thread-safe.
  * <p>
- * Why no two holders' validity overlaps: a holder counts its validity from before it sent
- * the renewal. An observer counts from when it had read the row that the renewal wrote,
+ * The validity of two holders never overlaps. A holder counts its validity from before it
+ * sent the renewal. An observer counts from when it read the row that the renewal wrote,
  * which is later, waits for the whole length, and then commits on the condition that the
- * row is still the same. A commit whose ending is unknown grants nothing until the row is
- * read with that commit's number in it.
+ * row is unchanged. A commit with an unknown outcome grants nothing until the row is read
+ * with the number of that commit in it.
  */
 public final class ObservedLeaseManager implements LeaseManager {
 
@@ -131,8 +131,8 @@
 		}
 	}
 
-	// The row carries the number of the commit that wrote it, which is how the ending of
-	// a commit with a lost answer is settled.
+	// The row contains the number of the commit that wrote it. This resolves the outcome
+	// of a commit whose answer was lost.
 	private void applyGrant(long now, LeaseRow ownRow) {
 		Long sentAt = this.commitSentAt.get(ownRow.commit());
 		if (sentAt == null) {
@@ -233,7 +233,7 @@
 				++this.lastCommitNumber, this.settings.address(), false), takeover);
 	}
 
-	// What was held is given up before the commit is sent: once it has taken effect,
+	// The holder steps down before the commit is sent: once the commit has taken effect,
 	// another entry may act at once.
 	private void commitRelease(long now) {
 		long heldEpoch = this.epoch;
--- a/core/src/main/java/org/almondmount/lease/impl/package-info.java
+++ b/core/src/main/java/org/almondmount/lease/impl/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The lease keeper as it runs in entries.
+ * The lease manager of an entry.
  */
 package org.almondmount.lease.impl;
--- a/core/src/main/java/org/almondmount/lease/package-info.java
+++ b/core/src/main/java/org/almondmount/lease/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions about the scheduler's lease: who holds it, under which epoch, and until
- * when the holder may act. No I/O.
+ * Decides which entry holds the scheduler's lease, under which epoch, and until when the
+ * holder may act. No I/O.
  */
 package org.almondmount.lease;
--- a/core/src/main/java/org/almondmount/term/TermCommand.java
+++ b/core/src/main/java/org/almondmount/term/TermCommand.java
@@ -1,34 +1,35 @@
 package org.almondmount.term;
 
 /**
- * Everything that the term keeper asks its driver to do. One read or commit is
+ * The commands that the term manager returns to its driver. At most one read or commit is
  * outstanding at a time.
  */
 public sealed interface TermCommand {
 
-	/** Read the row. */
+	/** Reads the row. */
 	record Read() implements TermCommand {
 	}
 
 	/**
-	 * Write the row on the condition that it is at that version.
+	 * Writes the row if it is at the expected version.
 	 *
 	 * @param row the new row
 	 * @param expectedVersion the version, 0 for no row
-	 * @param saveSequence the sequence of what is committed with it, 0 for nothing
+	 * @param saveSequence the sequence number of the data that is committed with it, 0
+	 * for none
 	 */
 	record Commit(TermRow row, long expectedVersion, long saveSequence) implements TermCommand {
 	}
 
-	/** This entry may decide from now on. */
+	/** This entry is the holder from now on and may decide. */
 	record Began(long epoch) implements TermCommand {
 	}
 
-	/** This entry may no longer decide. */
+	/** This entry is no longer the holder and may not decide. */
 	record Ended(long epoch, String reason) implements TermCommand {
 	}
 
-	/** What was to be committed is committed. */
+	/** The data with this sequence number is committed. */
 	record Saved(long sequence) implements TermCommand {
 	}
 
@@ -36,7 +37,7 @@
 	record HolderSeen(TermRow row) implements TermCommand {
 	}
 
-	/** The term of that epoch was given up; 0 where none was held. */
+	/** The term of that epoch was released; 0 if none was held. */
 	record Released(long epoch) implements TermCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/term/TermEvent.java
+++ b/core/src/main/java/org/almondmount/term/TermEvent.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * Everything that the term keeper is told.
+ * The events that the term manager handles.
  */
 public sealed interface TermEvent {
 
 	/**
-	 * The row as it was at some moment since it was asked for.
+	 * The row at some time since it was requested.
 	 *
-	 * @param row empty where there is none
-	 * @param version its version, 0 where there is none
+	 * @param row empty if there is none
+	 * @param version its version, 0 if there is none
 	 */
 	record RowRead(Optional<TermRow> row, long version) implements TermEvent {
 	}
@@ -24,7 +24,7 @@
 	record Committed(long commitNumber, long version) implements TermEvent {
 	}
 
-	/** The condition of a commit did not hold. */
+	/** The condition of a commit did not hold; the row is the current one. */
 	record Conflict(long commitNumber, Optional<TermRow> row, long version) implements TermEvent {
 	}
 
@@ -32,44 +32,44 @@
 	record CommitRefused(long commitNumber) implements TermEvent {
 	}
 
-	/** A commit was not answered: it may have taken effect, or may still do so. */
+	/** A commit was not answered: it may have taken effect, or may do so later. */
 	record Unanswered(long commitNumber) implements TermEvent {
 	}
 
 	/**
-	 * An entry says that it holds the term.
+	 * An entry announces that it holds the term.
 	 *
 	 * @param epoch the epoch
-	 * @param commitNumber the number of its last commit that is in the store, 0 where it
-	 * does not say
+	 * @param commitNumber the number of its last commit that is in the store, 0 if it
+	 * does not announce one
 	 */
 	record HolderAnnounced(long epoch, long commitNumber) implements TermEvent {
 	}
 
 	/**
-	 * The holder of that epoch, or of an earlier one, surely decides nothing any more: it
-	 * said so, or its process is gone.
+	 * The holder of that epoch or an earlier one certainly decides nothing any more: it
+	 * has announced so, or its process is gone.
 	 */
 	record HolderResigned(long epoch) implements TermEvent {
 	}
 
-	/** The connection to the holder is lost; nothing is known of it. */
+	/** The connection to the holder is lost; its state is unknown. */
 	record HolderLost() implements TermEvent {
 	}
 
-	/** The store answers slowly, and has not carried a commit out yet. */
+	/** The store answers, but has not executed a commit yet. */
 	record CommitDelayed(long commitNumber) implements TermEvent {
 	}
 
-	/** The store, which was silent, answers again. */
+	/** The store answers again after it did not answer for a while. */
 	record StoreRecovered() implements TermEvent {
 	}
 
-	/** Commit something together with the row, under this term. */
+	/** Commits data together with the row, under this term. */
 	record Save(long sequence) implements TermEvent {
 	}
 
-	/** Give the term up if it is held, and never take one again. */
+	/** Releases the term if it is held; it is not taken again. */
 	record Release() implements TermEvent {
 	}
 
--- a/core/src/main/java/org/almondmount/term/TermLength.java
+++ b/core/src/main/java/org/almondmount/term/TermLength.java
@@ -1,22 +1,22 @@
 package org.almondmount.term;
 
 /**
- * How long a term goes on after its last commit, by how long commits take. Mutable; owned
- * by the keeper.
+ * Computes how long a term is valid after its last commit, from the time that commits
+ * take. Mutable; owned by the term manager.
  * <p>
- * Nothing is decided from the loss of a holder until its term is over, so a term should
- * be short; but it has to outlast a commit and the next one. While commits are quick it
- * is four fifths of the longest, which still outlasts the first two commits of a store
- * that has just become slow.
+ * After the loss of a holder nothing is decided until its term is over, so a term should
+ * be short; but it has to outlast a commit and the next one. While commits are fast the
+ * length is four fifths of the maximum, which still outlasts the first two commits after
+ * the store has become slow.
  */
 final class TermLength {
 
 	private static final double FAST_COMMIT_LENGTH_RATIO = 0.8;
 
-	/** Commits that take place one after the other within a length. */
+	/** Number of consecutive commits that fit into a length. */
 	private static final int COMMITS_PER_LENGTH = 4;
 
-	/** How much of the slowest commit is forgotten with each later one. */
+	/** Factor by which the slowest commit time decays with each later commit. */
 	private static final double SLOWEST_COMMIT_DECAY = 0.8;
 
 	private static final int RENEWALS_PER_LENGTH = 4;
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Takes note of a commit.
+	 * Records the duration of a commit.
 	 * @param millis how long it took
 	 */
 	void recordCommit(long millis) {
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * The length of a term that is renewed now.
+	 * Returns the length of a term that is renewed now.
 	 * @return milliseconds
 	 */
 	long millis() {
@@ -49,15 +49,16 @@
 	}
 
 	/**
-	 * Whether commits took so long of late that the term is longer than the shortest.
-	 * @return whether they did
+	 * Returns whether recent commits were so slow that the term is longer than the
+	 * minimum.
+	 * @return true if they were
 	 */
 	boolean areCommitsSlow() {
 		return this.slowestCommitMillis * COMMITS_PER_LENGTH > this.maxMillis * FAST_COMMIT_LENGTH_RATIO;
 	}
 
 	/**
-	 * How long after a commit the next one renews a term.
+	 * Returns how long after a commit the next one renews the term.
 	 * @param lengthMillis the length of the term
 	 * @return milliseconds
 	 */
@@ -66,8 +67,9 @@
 	}
 
 	/**
-	 * For how long after a commit was sent its holder may act: an eighth less than others
-	 * wait, which is more than clocks of two machines differ within one length.
+	 * Returns for how long after a commit was sent its holder may act. It is an eighth
+	 * less than other entries wait, which is more than the clocks of two machines diverge
+	 * within one length.
 	 * @param lengthMillis the length of the term
 	 * @return milliseconds
 	 */
--- a/core/src/main/java/org/almondmount/term/TermManager.java
+++ b/core/src/main/java/org/almondmount/term/TermManager.java
@@ -5,36 +5,38 @@
 import java.util.Optional;
 
 /**
- * Decides when this entry takes the term, keeps it and loses it, and carries what has to
- * be kept in the same commits that renew it. Deterministic; not thread-safe.
+ * Decides when this entry takes, renews and loses the term, and writes the data that has
+ * to be stored in the same commits that renew it. Deterministic; not thread-safe.
  * <p>
- * Each commit holds only if the row is as the holder's last commit left it. So nothing of
- * a former holder takes effect after its successor's first commit, however late the store
- * carries it out. A commit that was not answered is sent again unchanged: if the first
- * one took effect the second finds its number in the row, and otherwise only one of the
- * two can.
+ * Each commit is conditional on the row that the holder's previous commit wrote. A commit
+ * of a former holder therefore takes no effect after the first commit of its successor,
+ * however late the store executes it. A commit that was not answered is sent again
+ * unchanged: if the first one took effect, the second finds its number in the row;
+ * otherwise at most one of the two can take effect.
  * <p>
- * A holder whose term was not renewed in time decides nothing, and goes on if its next
- * commit still takes effect: then nobody has taken the term meanwhile.
+ * A holder whose term was not renewed in time decides nothing. It continues if its next
+ * commit still takes effect, because then no other entry has taken the term in the
+ * meantime.
  * <p>
- * Why no two terms overlap: a holder counts its validity from before it sent a commit.
- * Others take the term only after they saw the row unchanged for the whole length by
- * their own clock, which began after that commit took effect.
+ * Two terms never overlap. A holder counts its validity from before it sent a commit.
+ * Other entries take the term only after they saw the row unchanged for the whole length
+ * by their own clock, counted from after that commit took effect.
  */
 public final class TermManager {
 
-	/** The value of {@link #validUntilMillis()} outside of a term. */
+	/** The value of {@link #validUntilMillis()} while no term is held. */
 	public static final long NOT_HELD = Long.MIN_VALUE;
 
 	/**
-	 * Pause before a commit is sent again that was unanswered before, in milliseconds. A
-	 * store that resets each call would be called as fast as it does.
+	 * Pause before a commit is sent again after it was unanswered twice, in milliseconds.
+	 * Without it, a store that resets each call would be called in a tight loop.
 	 */
 	private static final long UNANSWERED_RETRY_PAUSE_MILLIS = 50;
 
 	/**
-	 * Entries take a free term in turns, one read after the other. A slow store carries
-	 * their commits out one by one, and all but the first of them in vain.
+	 * Number of turns in which entries try to take a free term, each one read later than
+	 * the previous. A slow store executes their commits one by one, and all but the first
+	 * of them are in vain.
 	 */
 	private static final int TAKEOVER_TURN_COUNT = 6;
 
@@ -45,24 +47,27 @@
 
 	private final TermLength termLength;
 
-	/** When this entry takes a free term, in times of a read after the others. */
+	/**
+	 * The turn in which this entry takes a free term, in multiples of the time of a read.
+	 */
 	private final int takeoverTurn;
 
 	/**
-	 * A holder whose commits are refused for so long gives the term up, in milliseconds:
-	 * the store may turn away this entry alone.
+	 * Time after which a holder whose commits are refused resigns, in milliseconds: the
+	 * store may refuse the commits of this entry only.
 	 */
 	private static final long REFUSED_COMMIT_HAND_OVER_MILLIS = 600;
 
 	/**
-	 * A holder whom the store does not answer for so long gives the term up, in
+	 * Time after which a holder resigns if the store does not answer its commit, in
 	 * milliseconds.
 	 */
 	private static final long SILENT_STORE_HAND_OVER_MILLIS = 950;
 
 	/**
-	 * A holder whom the store answers slowly waits so long for a commit, in milliseconds:
-	 * the others would fare no better, and one that takes over has to commit too.
+	 * Time after which a holder resigns if the store answers slowly, in milliseconds. It
+	 * is longer because other entries are served no better, and a successor has to commit
+	 * too.
 	 */
 	private static final long SLOW_STORE_HAND_OVER_MILLIS = 2_400;
 
@@ -78,7 +83,10 @@
 
 	private long rowReadAt;
 
-	/** A row that was read before its holder spoke last may have changed since. */
+	/**
+	 * Whether the row was read after the holder's last announcement; an earlier row may
+	 * have changed since.
+	 */
 	private boolean rowReadSinceAnnouncement;
 
 	private long readSentAt;
@@ -89,7 +97,10 @@
 
 	private long holderAnnouncedAt = Long.MIN_VALUE;
 
-	/** What the holder said last, and when it said so for the first time. */
+	/**
+	 * The last announcement of the holder; its content has not changed since
+	 * {@link #lastAnnouncementChangedAt}.
+	 */
 	private TermEvent.HolderAnnounced lastAnnouncement = new TermEvent.HolderAnnounced(0, 0);
 
 	private long lastAnnouncementChangedAt;
@@ -99,7 +110,10 @@
 
 	private long epoch;
 
-	/** A term that was taken while this entry is told to end never begins. */
+	/**
+	 * Whether the term has begun; a term that was taken while this entry shuts down never
+	 * begins.
+	 */
 	private boolean termBegun;
 
 	private long validUntil = NOT_HELD;
@@ -117,7 +131,7 @@
 
 	private boolean commitUnanswered;
 
-	/** Whether the store answers, and has not carried the pending commit out yet. */
+	/** Whether the store answers but has not executed the pending commit yet. */
 	private boolean commitDelayed;
 
 	private long commitSentAt;
@@ -139,8 +153,9 @@
 	}
 
 	/**
-	 * Until when this entry may decide. A driver compares it with its clock right before
-	 * each effect: a process that was paused finds out so.
+	 * Returns until when this entry may decide. The driver compares it with its clock
+	 * immediately before each effect: after a pause of the process the term may have
+	 * expired.
 	 * @return a time of the driver's clock, or {@link #NOT_HELD}
 	 */
 	public long validUntilMillis() {
@@ -148,26 +163,26 @@
 	}
 
 	/**
-	 * The epoch of the term that this entry holds.
-	 * @return the epoch, 0 outside of a term
+	 * Returns the epoch of the term that this entry holds.
+	 * @return the epoch, 0 while it holds none
 	 */
 	public long epoch() {
 		return this.epoch;
 	}
 
 	/**
-	 * This entry's last commit that is in the store.
-	 * @return its number, 0 where there is none
+	 * Returns the number of this entry's last commit that is in the store.
+	 * @return its number, 0 if there is none
 	 */
 	public long lastStoredCommit() {
 		return this.lastStoredCommit;
 	}
 
 	/**
-	 * Takes one event.
-	 * @param now the driver's steady clock in milliseconds
-	 * @param event what happened
-	 * @return what is to be done, in order
+	 * Handles one event.
+	 * @param now the driver's monotonic clock in milliseconds
+	 * @param event the event
+	 * @return the commands to execute, in order
 	 */
 	public List<TermCommand> handle(long now, TermEvent event) {
 		this.commands = new ArrayList<>();
@@ -236,8 +251,8 @@
 		}
 	}
 
-	// A commit that its holder spoke of was in the store by then, so that the row need
-	// not have been read to know since when it is unchanged.
+	// A commit was in the store by the time its holder announced it. The row therefore
+	// counts as unchanged since the announcement, even if it was read only later.
 	private long unchangedSince(long now, Optional<TermRow> read) {
 		boolean announced = read
 			.filter((row) -> row.commit() != 0 && row.epoch() == this.lastAnnouncement.epoch()
@@ -246,9 +261,9 @@
 		return announced ? this.lastAnnouncementChangedAt : now;
 	}
 
-	// What was sent into the silence is lost. Waiting for its answer would leave the
-	// installation without a holder, or the holder without its commit, for up to a second
-	// after the store's return.
+	// Requests that were sent while the store did not answer are lost. Waiting for their
+	// answers would leave the installation without a holder, or the holder without its
+	// commit, for up to a second after the store has recovered.
 	private void handleStoreRecovery(long now) {
 		this.requestInFlight = false;
 		this.resendAt = now;
@@ -342,8 +357,9 @@
 		observeRow(now, conflict.row(), conflict.version());
 	}
 
-	// A commit is sent again as it is, at first at once and then with the pause; a
-	// challenger's is dropped, since whoever holds the term may have changed.
+	// Retries a commit unchanged, the first time at once and then after the pause. The
+	// commit of an entry that tries to take the term is dropped, because the holder may
+	// have changed.
 	private void scheduleRetry(long now, long commitNumber, long pauseMillis) {
 		if (this.pendingCommit.isEmpty() || this.pendingCommit.get().row().commit() != commitNumber) {
 			return;
@@ -386,8 +402,8 @@
 		}
 	}
 
-	// A commit that takes the term may be on its way. Were it left alone, the row would
-	// name an entry that is gone, and the others would wait for the whole length.
+	// A commit that takes the term may be in flight. If it were ignored, the row would
+	// name an entry that is gone and the other entries would wait for the whole length.
 	private void releaseUnlessCommitPending() {
 		if (this.pendingCommit.isEmpty()) {
 			this.released = true;
@@ -395,8 +411,9 @@
 		}
 	}
 
-	// Others who reach the store take the term at once when they are told; this entry
-	// looks at it a little later, in case that nobody reaches the store.
+	// Other entries that reach the store take the term as soon as they receive the
+	// resignation. This entry reads the row a little later, in case no other entry
+	// reaches the store.
 	private void handOver(long now) {
 		this.resignedEpoch = this.epoch;
 		endTerm("the store does not take this entry's commits");
@@ -459,7 +476,7 @@
 		}
 		TermRow current = this.row.get();
 		// The same address means the same VM: the process that wrote the row is gone,
-		// since this one listens there now.
+		// because this process listens there now.
 		if (isOwn(current) || current.address().equals(this.settings.address())) {
 			return true;
 		}
--- a/core/src/main/java/org/almondmount/term/TermSettings.java
+++ b/core/src/main/java/org/almondmount/term/TermSettings.java
@@ -3,19 +3,22 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * How an entry takes part in terms. Immutable.
+ * The settings with which an entry takes part in terms. Immutable.
  *
  * @param self this run of this entry
  * @param address where it accepts peers
- * @param lengthMillis how long a term goes on after its last commit while the store is
- * slow; {@link TermLength} shortens it where commits are quick
+ * @param lengthMillis how long a term is valid after its last commit while the store is
+ * slow; {@link TermLength} shortens it while commits are fast
  */
 public record TermSettings(String self, String address, long lengthMillis) {
 
-	/** The shortest length that leaves room for a renewal and its retry. */
+	/** The shortest length that leaves time for a renewal and its retry. */
 	public static final long MIN_LENGTH_MILLIS = 400;
 
-	/** One missing word of the holder, which speaks three times a second. */
+	/**
+	 * Time without an announcement after which the holder counts as silent. The holder
+	 * announces itself three times a second, so one announcement is missing.
+	 */
 	private static final long HOLDER_SILENCE_MILLIS = 450;
 
 	private static final int READS_PER_LENGTH = 6;
@@ -28,7 +31,8 @@
 	}
 
 	/**
-	 * How often an entry looks at the row while it does not hear the holder.
+	 * Returns how often an entry reads the row while it receives no announcement of the
+	 * holder.
 	 * @return milliseconds
 	 */
 	public long readIntervalMillis() {
@@ -36,7 +40,7 @@
 	}
 
 	/**
-	 * Silence of the holder after which the row is looked at.
+	 * Returns the time without an announcement of the holder after which the row is read.
 	 * @return milliseconds
 	 */
 	public long holderSilenceMillis() {
--- a/core/src/main/java/org/almondmount/term/package-info.java
+++ b/core/src/main/java/org/almondmount/term/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Who may decide, and what it keeps: terms of one holder, under epochs that grow. No I/O.
+ * Terms of one holder at a time, under increasing epochs: decides which entry is the
+ * holder and what it stores. No I/O.
  */
 package org.almondmount.term;
--- a/core/src/main/java/org/almondmount/worker/ActiveRuns.java
+++ b/core/src/main/java/org/almondmount/worker/ActiveRuns.java
@@ -10,18 +10,18 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * The runs that are at work in the present life of a worker, by what the worker answered.
- * Mutable; owned by the keeper.
+ * The active runs of the worker's current incarnation, according to the worker's answers.
+ * Mutable; owned by the worker manager.
  */
 final class ActiveRuns {
 
 	private final Map<RunKey, Long> startedAt = new LinkedHashMap<>();
 
 	/**
-	 * Takes note of a run that the worker has begun; a repeat changes nothing.
+	 * Records that the worker has started a run; repeated calls change nothing.
 	 * @param task the task
 	 * @param run the run's number
-	 * @param now the steady clock in milliseconds
+	 * @param now the monotonic clock in milliseconds
 	 */
 	void recordStart(TaskId task, int run, long now) {
 		this.startedAt.putIfAbsent(new RunKey(task, run), now);
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	 * Forgets all runs: the life is over.
-	 * @param incarnation that life
-	 * @param lastAnswerAt when the worker last answered in it, by the steady clock
+	 * Removes all runs because the incarnation has ended.
+	 * @param incarnation that incarnation
+	 * @param lastAnswerAt when the worker last answered in it, by the monotonic clock
 	 * @return the runs that had not ended
 	 */
 	List<WorkerReport.Crashed> removeAll(WorkerLife incarnation, long lastAnswerAt) {
--- a/core/src/main/java/org/almondmount/worker/IgnoredReason.java
+++ b/core/src/main/java/org/almondmount/worker/IgnoredReason.java
@@ -5,10 +5,10 @@
  */
 public enum IgnoredReason {
 
-	/** A holder of a later epoch was heard. */
+	/** A holder of a later epoch is known. */
 	OLD_EPOCH,
 
-	/** The order means another life of the worker. */
+	/** The order is for another incarnation of the worker. */
 	ANOTHER_LIFE
 
 }
--- a/core/src/main/java/org/almondmount/worker/OrderedRun.java
+++ b/core/src/main/java/org/almondmount/worker/OrderedRun.java
@@ -6,11 +6,14 @@
 
 /**
  * A run that was ordered and that the worker does not list as ended yet. Mutable; owned
- * by the keeper.
+ * by the worker manager.
  */
 final class OrderedRun {
 
-	/** Calls that begin a run; each waits a third of a second for its answer. */
+	/**
+	 * Maximum number of calls that start a run; each waits a third of a second for its
+	 * answer.
+	 */
 	private static final int MAX_START_CALLS = 4;
 
 	private final StartOrdered order;
@@ -32,7 +35,7 @@
 	}
 
 	/**
-	 * A run of which only the order to end it is known.
+	 * Creates a run of which only the order to stop it is known.
 	 * @param stop that order
 	 * @return the run
 	 */
@@ -70,8 +73,8 @@
 	}
 
 	/**
-	 * The first look that was sent after the stop was answered.
-	 * @return its number, 0 while the stop is not answered
+	 * Returns the first poll that was sent after the stop call was answered.
+	 * @return its number, 0 while the stop call is not answered
 	 */
 	long firstPollAfterStop() {
 		return this.firstPollAfterStop;
--- a/core/src/main/java/org/almondmount/worker/RecentCrashes.java
+++ b/core/src/main/java/org/almondmount/worker/RecentCrashes.java
@@ -6,18 +6,21 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * What crashed with former lives of a worker, for as long as holders are told of it.
- * Mutable; owned by the keeper.
+ * The runs that were active when previous incarnations of a worker crashed, while they
+ * are reported to holders. Mutable; owned by the worker manager.
  * <p>
- * A holder that heard of a crash may lose its term before it has kept it, so the next one
- * is told too. Holders count each run once.
+ * A holder that received a crash may lose its term before it has stored it, so the crash
+ * is reported to the next holder as well. Holders count each run once.
  */
 final class RecentCrashes {
 
-	/** Longer than it takes until the next holder decides, in milliseconds. */
+	/**
+	 * How long a crash is reported, in milliseconds; longer than it takes until the next
+	 * holder decides.
+	 */
 	private static final long REPORT_PERIOD_MILLIS = 60_000;
 
-	/** Bounds the report of a worker that crashes all the time. */
+	/** Bounds the size of the report of a worker that crashes repeatedly. */
 	private static final int MAX_RUNS = 256;
 
 	private final List<WorkerReport.Crashed> runs = new ArrayList<>();
--- a/core/src/main/java/org/almondmount/worker/WorkerCommand.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerCommand.java
@@ -7,18 +7,18 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * Everything that the keeper of a worker asks its driver to do, in order.
+ * The commands that the manager of a worker returns to its driver, to be executed in
+ * order.
  */
 public sealed interface WorkerCommand {
 
 	/**
-	 * Look at the worker and renew its lease.
+	 * Polls the worker and renews its lease.
 	 *
-	 * @param pollNumber the look's number
-	 * @param incarnation the life that is meant, {@link WorkerLife#NONE} for whichever is
-	 * there
-	 * @param epoch the epoch that the worker is to obey
-	 * @param acknowledgedEnd ends up to that number may be forgotten
+	 * @param pollNumber the poll's number
+	 * @param incarnation the expected incarnation, {@link WorkerLife#NONE} for any
+	 * @param epoch the epoch that the worker has to obey
+	 * @param acknowledgedEnd ends up to that number may be deleted
 	 * @param leaseUntilMillis the end of the lease by the worker's clock, 0 to renew
 	 * nothing
 	 * @param maxWaitMillis how long the worker may wait for an end before it answers
@@ -27,41 +27,44 @@
 			long maxWaitMillis) implements WorkerCommand {
 	}
 
-	/** Have the worker begin a run; the lease ends at that time of the worker's clock. */
+	/**
+	 * Makes the worker start a run; the lease ends at the given time of the worker's
+	 * clock.
+	 */
 	record Start(WorkerLife incarnation, long epoch, TaskId task, int run, String program, String checkpoint,
 			long leaseUntilMillis) implements WorkerCommand {
 	}
 
-	/** Have the worker end a run. */
+	/** Makes the worker end a run. */
 	record Stop(WorkerLife incarnation, long epoch, TaskId task, int run) implements WorkerCommand {
 	}
 
 	/**
-	 * Tell the holder that this process lives.
+	 * Sends a heartbeat of this process to the holder.
 	 *
-	 * @param heartbeat its number, or {@link #WORKER_SILENT} where the worker does not
+	 * @param heartbeat its number, or {@link #WORKER_SILENT} if the worker does not
 	 * answer
 	 */
 	record SendHeartbeat(long heartbeat) implements WorkerCommand {
 
-		/** This process lives, and nothing is known of the worker. */
+		/** This process is alive, and the state of the worker is unknown. */
 		public static final long WORKER_SILENT = 0;
 
 	}
 
-	/** Tell the holder of the worker. */
+	/** Sends a report about the worker to the holder. */
 	record SendReport(WorkerReport report) implements WorkerCommand {
 	}
 
-	/** Tell the holder that a run was not begun and never will be. */
+	/** Informs the holder that a run was not started and never will be. */
 	record SendRunNotStarted(TaskId task, int run, String reason) implements WorkerCommand {
 	}
 
 	/**
-	 * Count an order that is not carried out.
+	 * Counts an order that is not executed.
 	 *
 	 * @param orderKind the kind of order
-	 * @param task the task that it is about
+	 * @param task the task of the order
 	 * @param run the task's run
 	 * @param epoch the epoch of the holder that sent it
 	 * @param reason the reason
@@ -71,9 +74,9 @@
 	}
 
 	/**
-	 * Count a worker that ended without notice, with what was at work there.
+	 * Counts a worker that ended without notice, with the runs that were active on it.
 	 *
-	 * @param incarnation the life that ended
+	 * @param incarnation the incarnation that ended
 	 * @param runs the runs whose start the worker had answered, or that it had listed
 	 */
 	record CountCrash(WorkerLife incarnation, List<WorkerReport.Crashed> runs) implements WorkerCommand {
@@ -84,7 +87,7 @@
 
 	}
 
-	/** A decision that an administrator may want to read later. */
+	/** Logs a decision that an administrator may want to look up later. */
 	record LogDecision(String event, Object[] keysAndValues) implements WorkerCommand {
 
 		static LogDecision of(String event, Object... keysAndValues) {
--- a/core/src/main/java/org/almondmount/worker/WorkerEvent.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerEvent.java
@@ -9,28 +9,32 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * Everything that the keeper of a worker is told. Immutable.
+ * The events that the manager of a worker handles. Immutable.
  */
 public sealed interface WorkerEvent {
 
 	/**
-	 * The worker described itself.
+	 * The worker announced itself.
 	 *
-	 * @param description what it said
-	 * @param announcementNumber counts what this life of the worker announces
+	 * @param description the description in the announcement
+	 * @param announcementNumber counts the announcements of this incarnation of the
+	 * worker
 	 */
 	record WorkerAnnounced(WorkerDescription description, long announcementNumber) implements WorkerEvent {
 	}
 
-	/** The worker said that it ends now. */
+	/** The worker announced that it shuts down now. */
 	record WorkerLeaving(String worker) implements WorkerEvent {
 	}
 
-	/** A holder of the term was found, or found again after a lost connection. */
+	/**
+	 * The holder of the term was connected, for the first time or after a lost
+	 * connection.
+	 */
 	record HolderConnected(long epoch) implements WorkerEvent {
 	}
 
-	/** The connection to the holder is gone. */
+	/** The connection to the holder is lost. */
 	record HolderDisconnected() implements WorkerEvent {
 	}
 
@@ -39,37 +43,37 @@
 	}
 
 	/**
-	 * The holder orders a run to begin.
+	 * The holder orders a run to be started.
 	 *
 	 * @param epoch the holder's epoch
-	 * @param heartbeat the last heartbeat that the holder had heard
-	 * @param incarnation the life of the worker that it means
+	 * @param heartbeat the last heartbeat that the holder had received
+	 * @param incarnation the incarnation of the worker for which the order is meant
 	 * @param task the task
 	 * @param run the run's number
-	 * @param program what to run
-	 * @param checkpoint where to go on, or empty
-	 * @param capacity the worker's capacity by which the holder chose it
+	 * @param program the program to run
+	 * @param checkpoint the checkpoint to continue from, or empty
+	 * @param capacity the capacity of the worker that the holder assumed
 	 */
 	record StartOrdered(long epoch, long heartbeat, WorkerLife incarnation, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements WorkerEvent {
 	}
 
-	/** The holder orders a run to end, or never to begin. */
+	/** The holder orders a run to be stopped, or never to be started. */
 	record StopOrdered(long epoch, WorkerLife incarnation, TaskId task, int run) implements WorkerEvent {
 	}
 
-	/** Ends up to that number are kept. */
+	/** The holder has recorded the ends up to that number. */
 	record EndsRecorded(long epoch, WorkerLife incarnation, long upTo) implements WorkerEvent {
 	}
 
 	/**
-	 * The worker answered a look.
+	 * The worker answered a poll.
 	 *
-	 * @param pollNumber the look's number
-	 * @param incarnation the life that answered
+	 * @param pollNumber the poll's number
+	 * @param incarnation the incarnation that answered
 	 * @param clockMillis the worker's clock when it answered
-	 * @param running what runs
-	 * @param ended what ended and was not acknowledged
+	 * @param running the active runs
+	 * @param ended the runs that ended and were not acknowledged
 	 */
 	record PollAnswered(long pollNumber, WorkerLife incarnation, long clockMillis, List<WorkerReport.Running> running,
 			List<WorkerReport.Ended> ended) implements WorkerEvent {
@@ -81,15 +85,15 @@
 
 	}
 
-	/** The worker did not answer a look. */
+	/** The worker did not answer a poll. */
 	record PollFailed(long pollNumber, String reason) implements WorkerEvent {
 	}
 
-	/** What came of a call that begins a run. */
+	/** The outcome of a call that starts a run. */
 	record StartCallEnded(TaskId task, int run, CallOutcome outcome, String reason) implements WorkerEvent {
 	}
 
-	/** What came of a call that ends a run. */
+	/** The outcome of a call that stops a run. */
 	record StopCallEnded(TaskId task, int run, CallOutcome outcome) implements WorkerEvent {
 	}
 
@@ -98,17 +102,17 @@
 	}
 
 	/**
-	 * What came of a call to the worker.
+	 * The outcome of a call to the worker.
 	 */
 	enum CallOutcome {
 
-		/** It was done. */
+		/** The call was executed. */
 		DONE,
 
-		/** It was refused: nothing was done. */
+		/** The call was refused and had no effect. */
 		REFUSED,
 
-		/** It was not answered: it may have been done, or may still be. */
+		/** The call was not answered: it may have been executed, or may be later. */
 		UNANSWERED
 
 	}
--- a/core/src/main/java/org/almondmount/worker/WorkerManager.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerManager.java
@@ -14,37 +14,47 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * Stands between the holder of the term and one worker. Deterministic; not thread-safe.
+ * Mediates between the holder of the term and one worker. Deterministic; not thread-safe.
  * <p>
- * It passes on orders of the highest epoch that it has heard of, renews the worker's
- * lease only as far as the holder granted it, and tells the holder what the worker lists.
- * It keeps nothing that lasts: after a restart it asks the worker and the holder.
+ * It passes on orders of the highest epoch that it has received, renews the worker's
+ * lease only as far as the holder granted it, and reports to the holder what the worker
+ * lists. It has no durable state: after a restart it queries the worker and the holder.
  */
 public final class WorkerManager {
 
-	/** A worker's clock may be 2 % slow. */
+	/** The minimum rate of a worker's clock, which may be 2 % slow. */
 	private static final double MIN_WORKER_CLOCK_RATE = 0.98;
 
 	/**
-	 * Silence of the worker after which it is no longer vouched for, in milliseconds: a
-	 * look waits a second for an end and a third of one for its answer.
+	 * Time without an answer after which heartbeats no longer vouch for the worker, in
+	 * milliseconds: a poll waits a second for an end and a third of a second for its
+	 * answer.
 	 */
 	private static final long WORKER_ANSWER_TIMEOUT_MILLIS = 2_000;
 
 	/**
-	 * The capacity that a worker announced is reckoned with for so long, in milliseconds:
-	 * one announcement may be missing. A paused process reads orders that lie before
-	 * newer announcements.
+	 * How long the capacity that a worker announced is used, in milliseconds. One
+	 * announcement may be missing. The limit matters because a paused process reads
+	 * orders that arrived before newer announcements.
 	 */
 	private static final long DESCRIPTION_VALIDITY_MILLIS = 3_500;
 
-	/** Heartbeats whose sending time is remembered: more than a lease holds. */
+	/**
+	 * Number of heartbeats whose send time is remembered; more than are sent within a
+	 * lease.
+	 */
 	private static final int MAX_REMEMBERED_HEARTBEATS = 64;
 
-	/** Looks in a row that fail after a worker said that it ends: then it is gone. */
+	/**
+	 * Number of consecutive failed polls after which a worker that announced its shutdown
+	 * is gone.
+	 */
 	private static final int MIN_FAILED_POLLS_AFTER_LEAVING = 2;
 
-	/** One that still answers so long after has another life, or did not mean it. */
+	/**
+	 * Time after which an announced shutdown no longer counts if the worker still
+	 * answers, in milliseconds: it has a new incarnation, or did not shut down.
+	 */
 	private static final long LEAVING_NOTICE_VALIDITY_MILLIS = 5_000;
 
 	private final String target;
@@ -119,10 +129,10 @@
 	}
 
 	/**
-	 * Takes one event.
-	 * @param now the driver's steady clock in milliseconds
-	 * @param event what happened
-	 * @return what is to be done, in order
+	 * Handles one event.
+	 * @param now the driver's monotonic clock in milliseconds
+	 * @param event the event
+	 * @return the commands to execute, in order
 	 */
 	public List<WorkerCommand> handle(long now, WorkerEvent event) {
 		this.commands = new ArrayList<>();
@@ -207,9 +217,10 @@
 		this.leaseUntil = Math.max(this.leaseUntil, sentAt + granted.leaseMillis());
 	}
 
-	// An order is good for as long as the lease that the holder granted with the last
-	// heartbeat it had heard. After that the holder takes for granted that nothing of the
-	// order runs, and an order that a cut connection delivers late must not begin a run.
+	// An order is valid as long as the lease that the holder granted for the last
+	// heartbeat it had received. After that the holder assumes that no run of the order
+	// is active, so an order that is delivered late after a broken connection must not
+	// start a run.
 	private void handleStartOrder(long now, WorkerEvent.StartOrdered order) {
 		if (ignoreIfStale("start", order.epoch(), order.incarnation(), order.task(), order.run())) {
 			return;
@@ -225,9 +236,9 @@
 			sendStart(now, run);
 			return;
 		}
-		// The process that stood here before may have sent the same order, and its call
-		// may still be carried out. So a refusal is only told once the worker was told to
-		// stop the run, after which it never begins.
+		// The previous process of this target may have sent the same order, and its call
+		// may still be executed. The refusal is therefore reported only after the worker
+		// was ordered to stop the run, which then never starts.
 		run.notStartedReason(refusal.get());
 		run.stopRequested(true);
 		sendStop(run);
@@ -243,8 +254,8 @@
 		return true;
 	}
 
-	// Some workers begin whatever they are told to, and this process hears first that the
-	// worker has less room than the holder reckoned with.
+	// Some workers start every run they are ordered to, and this process is informed
+	// earlier than the holder that the worker has less capacity than the holder assumed.
 	private Optional<String> refusalReason(long now, WorkerEvent.StartOrdered order) {
 		Long sentAt = this.heartbeatSentAt.get(order.heartbeat());
 		if (sentAt == null || leaseUntilOnWorkerClock(now) == 0) {
@@ -300,8 +311,8 @@
 			return;
 		}
 		beginIncarnation(now, announced.life());
-		// Announcements overtake each other: an older one may tell of room that is gone,
-		// or that a worker is ready which leaves by now.
+		// Announcements can overtake each other: an older one may contain capacity that
+		// is gone, or a ready state of a worker that is now draining.
 		boolean overtaken = announcementNumber < this.lastAnnouncement;
 		if (overtaken || (isDraining() && !announced.draining())) {
 			return;
@@ -315,8 +326,8 @@
 		this.reportDue |= !unchanged;
 	}
 
-	// A worker that said that it ends and does not answer any more runs nothing. Its runs
-	// need not wait for their lease to run out.
+	// A worker that announced its shutdown and no longer answers has no active runs. They
+	// need not wait until their lease expires.
 	private void abandonRunsIfWorkerLeft() {
 		if (this.leavingNoticeAt == Long.MIN_VALUE || this.failedPollCount < MIN_FAILED_POLLS_AFTER_LEAVING) {
 			return;
@@ -336,9 +347,10 @@
 		return this.description.map(WorkerDescription::draining).orElse(false);
 	}
 
-	// A new life knows nothing of the former one's runs, ends and orders. A look that was
-	// sent before the worker had told its name brings the same life without it; taken as
-	// it is, the holder's orders for that life would not be known for what they are.
+	// A new incarnation has no runs, ends or orders of the previous one. The answer to a
+	// poll that was sent before the worker announced its name contains the same
+	// incarnation without the name. If it were adopted, the holder's orders for that
+	// incarnation would not match and would be ignored.
 	private void beginIncarnation(long now, WorkerLife next) {
 		if (next.equals(this.incarnation)) {
 			return;
@@ -362,8 +374,9 @@
 		this.pollRequested = true;
 	}
 
-	// A worker that leaves says so first. One that comes back without a word took
-	// down all that was at work there, or was taken down by it.
+	// A worker announces its shutdown first. A new incarnation without that announcement
+	// means that the worker crashed together with its active runs, possibly because of
+	// one of them.
 	private void recordCrash(long now) {
 		List<WorkerReport.Crashed> runs = this.activeRuns.removeAll(this.incarnation, this.workerAnsweredAt);
 		boolean leaving = isDraining() || this.leavingNoticeAt != Long.MIN_VALUE;
@@ -381,8 +394,8 @@
 		}
 		beginIncarnation(now, answer.incarnation());
 		// A lease is granted only for a worker that answers. After a restart the first
-		// heartbeat leaves before the first answer, and every order would be refused for
-		// want of a lease until the next one is due.
+		// heartbeat is sent before the first answer; without another heartbeat now, every
+		// order would be refused for lack of a lease until the next one is due.
 		if (!workerAnswers(now)) {
 			this.nextHeartbeat = Long.MIN_VALUE;
 		}
@@ -426,8 +439,8 @@
 		this.running = List.copyOf(stillRunning);
 	}
 
-	// A run that was told to stop, and is in neither list of a look that was sent after
-	// the stop was answered, was never begun and will be refused from now on.
+	// A run that was ordered to stop, and that is in neither list of a poll sent after
+	// the stop was answered, was never started and will be refused from now on.
 	private void confirmStops(WorkerEvent.PollAnswered answer) {
 		for (OrderedRun run : List.copyOf(this.orders.values())) {
 			TaskId task = run.order().task();
@@ -481,8 +494,8 @@
 		run.retryStopAt(now + this.policy.pollRetryPauseMillis());
 	}
 
-	// Progress is only told after a new look: an old list told again would make a task
-	// that moves look as if it stood still.
+	// Progress is reported only after a new poll: an old list that is reported again
+	// would make an active task look stalled.
 	private void issueCommands(long now) {
 		retryStops(now);
 		pollIfDue(now);
@@ -504,9 +517,9 @@
 		}
 	}
 
-	// This process may live on beside a worker that is gone for good. A heartbeat that
-	// vouched for the worker would keep its runs alive in the holder's eyes for ever;
-	// without a number it only keeps the connection.
+	// This process may outlive its worker. A heartbeat that vouches for the worker would
+	// make the holder consider its runs active forever; without a number it only keeps
+	// the connection open.
 	private long nextHeartbeat(long now) {
 		if (!workerAnswers(now)) {
 			return WorkerCommand.SendHeartbeat.WORKER_SILENT;
@@ -529,10 +542,10 @@
 		}
 	}
 
-	// One look waits at a busy worker for an end; another one goes beside it when
-	// something has to be known or acknowledged at once. A worker that runs nothing
-	// answers at once, so it is looked at now and then, and again as soon as it begins a
-	// run: it may end or be stopped within the pause.
+	// One long poll waits for an end on a busy worker; another poll is sent in parallel
+	// when something has to be known or acknowledged at once. A worker without runs
+	// answers at once, so it is polled only at intervals, and again as soon as it starts
+	// a run, which may end or be stopped within the pause.
 	private void pollIfDue(long now) {
 		boolean regular = this.outstandingPoll == 0 && now >= this.nextPollAt;
 		if (!regular && !this.pollRequested) {
--- a/core/src/main/java/org/almondmount/worker/package-info.java
+++ b/core/src/main/java/org/almondmount/worker/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of the process beside a worker: leases, orders, fencing, and what is told
- * of the worker. No I/O.
+ * Manages one worker for the target process beside it: leases, orders, fencing, and
+ * reports about the worker. No I/O.
  */
 package org.almondmount.worker;
--- a/core/src/test/java/org/almondmount/gang/MemberManagerTests.java
+++ b/core/src/test/java/org/almondmount/gang/MemberManagerTests.java
@@ -68,9 +68,9 @@
 		assertNothingStarts();
 	}
 
-	// Holder: was paused past its lease, and its successor's orders have been seen here.
-	// What the old one still sends would start a gang that the successor knows nothing
-	// of.
+	// Guards against a gang that a former holder starts after its successor has taken
+	// over. The former holder was paused past the end of its lease, and orders of its
+	// successor were already received here.
 	@Test
 	void anOrderUnderALowerEpochIsIgnored() {
 		prepare(1, FIRST, 0);
@@ -79,8 +79,9 @@
 		assertNothingStarts();
 	}
 
-	// Holder: aborts an attempt because another member was refused. The abort overtakes
-	// the prepare and start of this member. Nobody else of the gang will ever run.
+	// Guards against a start after an abort: the holder aborts an attempt because another
+	// member was refused, and the abort overtakes the prepare and start orders of this
+	// member. The rest of the gang never runs.
 	@Test
 	void abortThatOvertakesItsPrepareTakesPrecedence() {
 		feed(new MemberEvent.AbortReceived(1, FIRST, 0));
@@ -131,8 +132,8 @@
 		assertNothingStarts();
 	}
 
-	// Entries: one is behind and still says that the zone is in. What a later revision
-	// said holds.
+	// An entry with an older configuration still reports that the zone is in service. The
+	// state of the latest revision applies.
 	@Test
 	void olderRevisionOfTheZoneStateIsIgnored() {
 		feed(new MemberEvent.ZoneStateReceived(ZoneState.OUT, 5, 1_000));
@@ -154,9 +155,9 @@
 		assertThat(this.commands).contains(new MemberCommand.ReportEnded(FIRST, 0, Ending.SUSPENDED));
 	}
 
-	// This process: was frozen for four seconds with an answer in its socket. The gang
-	// was whole when that was sent, and counting the lease from its arrival would add the
-	// freeze to the bound.
+	// Guards against a gang lease that is extended by a pause. The process was paused for
+	// four seconds while a confirmation was buffered in its socket. The lease counts from
+	// the heartbeat that was answered, not from the arrival of the answer.
 	@Test
 	void delayedConfirmationExtendsTheGangLeaseFromItsHeartbeat() {
 		runMember(FIRST, 0);
@@ -197,9 +198,9 @@
 		assertThat(this.commands).noneMatch(MemberCommand.RenewTask.class::isInstance);
 	}
 
-	// This process: frozen for a minute between prepare and start. The start was waiting
-	// in its socket and is the first thing that it reads. The hold, the epoch's time and
-	// the view of the zone are all long over.
+	// Guards against a start after a long pause. The process is paused for a minute
+	// between prepare and start, and the buffered start order is the first message that
+	// it reads. By then the hold and the state of the zone have expired.
 	@Test
 	void deadlinesAreCheckedBeforeAnEventIsHandled() {
 		prepare(1, FIRST, 0);
@@ -234,7 +235,7 @@
 		assertThat(this.manager.heldMembers()).isEmpty();
 	}
 
-	// This process: was replaced, and its worker runs a task that it knows nothing of.
+	// The process was restarted, and its worker runs a task of which it has no record.
 	// The gang may be broken by now.
 	@Test
 	void unknownRunningTaskIsSuspendedAndBlocksOtherMembers() {
--- a/core/src/test/java/org/almondmount/gang/PartialGangProperties.java
+++ b/core/src/test/java/org/almondmount/gang/PartialGangProperties.java
@@ -29,9 +29,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * One job on three workers with a holder that dies at any step, two entries, a network
- * that loses, doubles and delays messages, processes that freeze and workers that lose
- * tasks. The workers' tasks are counted by the test itself.
+ * Simulates one job on three workers, with a holder that fails at any step, two entries,
+ * a network that loses, duplicates and delays messages, processes that pause and workers
+ * that lose tasks. The test counts the tasks of the workers itself.
  */
 class PartialGangProperties {
 
@@ -41,7 +41,7 @@
 
 	private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
 
-	/** The heartbeat timeout: no connection holds a message back for longer. */
+	/** The heartbeat timeout: no connection delays a message for longer. */
 	private static final long MAX_DELAY_MILLIS = 2_500;
 
 	private static final long MAX_CHECKPOINT_MILLIS = 1_000;
@@ -50,10 +50,10 @@
 
 	private static final MemberPolicy POLICY = MemberPolicy.DEFAULT.withCapacity(new Resources(1, 1, 1));
 
-	// A member that is alone ran at most that long after it was last part of a whole
-	// gang: an entry believes heartbeats for its bound, they may have been on the way for
-	// the longest delay, the gang lease runs from the heartbeat that was answered, and
-	// then the task checkpoints.
+	// The longest time that a member runs alone after its gang was last fully running: an
+	// entry uses a heartbeat for its validity, the heartbeat may have been in transit for
+	// the maximum delay, the gang lease counts from the heartbeat that was answered, and
+	// the task then takes a checkpoint.
 	private static final long MAX_PARTIAL_MILLIS = MAX_DELAY_MILLIS + HEARTBEAT_VALIDITY_MILLIS
 			+ POLICY.gangTimeout().toMillis() + MAX_CHECKPOINT_MILLIS + 6 * TICK_MILLIS;
 
@@ -142,8 +142,9 @@
 			this.scheduledActions.computeIfAbsent(this.now + millis, (at) -> new ArrayList<>()).add(action);
 		}
 
-		// Prepares, starts when all are held, and begins anew when anything ends or takes
-		// too long; its successor knows nothing but the next attempt's number.
+		// Prepares the gang, starts it when all members are held, and starts the next
+		// attempt when a member ends or the preparation takes too long. Its successor
+		// knows only the number of the next attempt.
 		private final class Holder {
 
 			private final long epoch;
@@ -219,7 +220,7 @@
 
 			private final MemberManager manager = MemberManagerFactory.create(POLICY);
 
-			/** Running tasks with the end of the worker's own lease. */
+			/** The running tasks, with the end of the worker's own lease for each. */
 			private final Map<Attempt, Long> taskLeaseEnds = new HashMap<>();
 
 			private final List<Runnable> bufferedMessages = new ArrayList<>();
--- a/core/src/test/java/org/almondmount/gang/RunningGangTrackerTests.java
+++ b/core/src/test/java/org/almondmount/gang/RunningGangTrackerTests.java
@@ -27,8 +27,9 @@
 		assertThat(this.tracker.fullyRunningAttempts(10, WORKER_A)).containsExactly(GANG);
 	}
 
-	// Holder: its start reached only half of the gang. If held members counted, preparing
-	// the other half again and again would keep this half alone running.
+	// Guards against half a gang that keeps running alone. The start order reached only
+	// half of the members; if held members counted, preparing the other half again and
+	// again would keep the first half running.
 	@Test
 	void gangWithAHeldMemberIsNotFullyRunning() {
 		this.tracker.recordHeartbeat(0, WORKER_A, List.of(member(0, true)));
--- a/core/src/test/java/org/almondmount/lease/LeaseManagerTests.java
+++ b/core/src/test/java/org/almondmount/lease/LeaseManagerTests.java
@@ -27,8 +27,8 @@
 			.contains(new LeaseCommand.BecameHolder(1));
 	}
 
-	// The renewal takes effect and its answer comes late. Counted from the answer, the
-	// holder would still act after an observer, who saw the row earlier, has taken over.
+	// Guards against validity that counts from a late answer: the holder would still act
+	// after an observer, which read the renewed row earlier, has taken the lease over.
 	@Test
 	void validityCountsFromBeforeTheCommitWasSent() {
 		this.manager.handle(0, new LeaseEvent.Tick());
@@ -65,8 +65,9 @@
 		assertThat(commits(this.manager.handle(10, new LeaseEvent.RowRead(Optional.of(released), 3)))).hasSize(1);
 	}
 
-	// The answer to the takeover is lost: the entry may be holder without knowing. It
-	// acts only once the row shows that very commit, and counts from when that was sent.
+	// The answer to the takeover is lost, so the entry may be holder without knowing it.
+	// It acts only once it has read that commit in the row, and its validity counts from
+	// when the commit was sent.
 	@Test
 	void commitWithLostAnswerIsResolvedByReadingTheRow() {
 		this.manager.handle(0, new LeaseEvent.Tick());
@@ -79,9 +80,9 @@
 		assertThat(this.manager.validUntilMillis()).isEqualTo(10 + 3_500);
 	}
 
-	// The process is paused while it holds the lease. The first thing that it hears
-	// afterwards may be an answer that belongs to the time before; it has to step down
-	// before it does anything with it.
+	// Guards against a holder that acts on an outdated answer after a pause. The process
+	// is paused past the end of its lease, and the next event is an answer from before
+	// the pause; the holder steps down before it handles that event.
 	@Test
 	void pausedHolderStepsDownBeforeHandlingAnyEvent() {
 		becomeHolder();
--- a/core/src/test/java/org/almondmount/lease/LeasePropertyTests.java
+++ b/core/src/test/java/org/almondmount/lease/LeasePropertyTests.java
@@ -11,10 +11,11 @@
 
 	private static final long STEP_MILLIS = 10;
 
-	// Two schedulers acting at once would place the same accelerators twice. Here answers
-	// are lost and late, commits take effect after they were called unknown, holders are
-	// paused past their lease and the table goes away; still, at every moment and by
-	// their own clocks, at most one keeper may act.
+	// Guards against two entries that act as holder at the same time, which would place
+	// the same accelerators twice. Answers are lost or late, commits take effect after
+	// their outcome was reported as unknown, holders are paused past the end of their
+	// lease and the table is unavailable at times. At every moment at most one entry may
+	// act by its own clock.
 	@Property(tries = 150, seed = "4102")
 	void atMostOneEntryHoldsTheLease(@ForAll long seed) {
 		LeaseSimulation simulation = new LeaseSimulation(new Random(seed), 2 + (int) Math.floorMod(seed, 2L));
@@ -24,9 +25,9 @@
 		}
 	}
 
-	// A holder that was paused goes on with what it was about to commit. Its commit is on
-	// the condition of its epoch, so nothing of an older epoch takes effect after
-	// something of a newer one.
+	// Guards against a late commit of a former holder: after a pause it still sends the
+	// commit that it had prepared. Commits are conditional on the epoch, so none of an
+	// older epoch takes effect after one of a newer epoch.
 	@Property(tries = 50, seed = "4103")
 	void commitsTakeEffectInTheOrderOfTheirEpochs(@ForAll long seed) {
 		LeaseSimulation simulation = new LeaseSimulation(new Random(seed), 3);
@@ -34,8 +35,9 @@
 		assertThat(simulation.committedEpochs()).isSorted();
 	}
 
-	// Whatever happened before, once the table answers and nobody is paused, the lease is
-	// held again within the time that an observer waits and a few exchanges.
+	// Guards against a lease that stays without a holder after faults. Once the table
+	// answers and no entry is paused, the lease is held again within the time that an
+	// observer waits and a few exchanges.
 	@Property(tries = 50, seed = "4104")
 	void leaseIsHeldAgainSoonAfterFaultsEnd(@ForAll long seed) {
 		LeaseSimulation simulation = new LeaseSimulation(new Random(seed), 3);
--- a/core/src/test/java/org/almondmount/lease/LeaseSimulation.java
+++ b/core/src/test/java/org/almondmount/lease/LeaseSimulation.java
@@ -10,9 +10,9 @@
 import org.almondmount.model.EntryId;
 
 /**
- * Several lease keepers against one table under a virtual time. Each keeper has a clock
- * of its own with another origin and rate; answers are late or lost, commits take effect
- * late, keepers are paused, the table goes away.
+ * Simulates several entries with lease managers and one table in virtual time. Each entry
+ * has its own clock with a different origin and rate. Answers are late or lost, commits
+ * take effect late, entries are paused and the table is unavailable at times.
  */
 final class LeaseSimulation {
 
@@ -66,8 +66,8 @@
 	}
 
 	/**
-	 * The keepers that may act at this moment, each by its own clock.
-	 * @return the keepers' numbers
+	 * Returns the entries that may act as holder now, each by its own clock.
+	 * @return the numbers of the entries
 	 */
 	List<Integer> holders() {
 		List<Integer> holders = new ArrayList<>();
@@ -153,7 +153,7 @@
 			}
 		}
 
-		// What a holder commits is on the condition that the epoch is still its own.
+		// Commits of a holder are conditional on its epoch still being current.
 		private void commitUnderEpoch(long epoch) {
 			schedule(nextDelay(), () -> {
 				boolean epochUnchanged = LeaseSimulation.this.row.isPresent()
@@ -181,8 +181,8 @@
 			answer(new LeaseEvent.RowRead(LeaseSimulation.this.row, LeaseSimulation.this.version));
 		}
 
-		// An answer that is lost is told as unknown at once, and the commit may still
-		// take effect long after that.
+		// If the answer is lost, the outcome is reported as unknown at once, and the
+		// commit may still take effect long after that.
 		private void commit(LeaseCommand.Commit commit) {
 			boolean lost = isMessageLost();
 			schedule(nextDelay(), () -> {
--- a/core/src/test/java/org/almondmount/term/TermLengthTests.java
+++ b/core/src/test/java/org/almondmount/term/TermLengthTests.java
@@ -31,7 +31,7 @@
 		assertThat(this.length.millis()).isEqualTo(1_600);
 	}
 
-	// Guards against a holder that loses its term to a store that has just become a
+	// Guards against a holder that loses its term when the store suddenly becomes a
 	// hundred times slower.
 	@Test
 	void aShortTermOutlastsTheFirstTwoSlowCommits() {
--- a/core/src/test/java/org/almondmount/term/TermManagerTests.java
+++ b/core/src/test/java/org/almondmount/term/TermManagerTests.java
@@ -35,8 +35,9 @@
 		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9))).row().epoch()).isEqualTo(5);
 	}
 
-	// Guards against a dead holder's row that is watched from the first look on, though
-	// the holder spoke of the commit that wrote it long before.
+	// Guards against waiting longer than necessary for a failed holder: its row would
+	// count as unchanged only from the first read on, although the holder announced the
+	// commit that wrote it long before.
 	@Test
 	void rowCountsAsUnchangedSinceItsCommitWasAnnounced() {
 		feed(new TermEvent.Tick());
@@ -62,8 +63,8 @@
 		assertThat(commits(feed(read))).isEmpty();
 	}
 
-	// The holder says that it gives the term up, because the store turns it away. Callers
-	// wait until somebody decides again, so nobody watches the row any longer.
+	// The holder resigns because the store refuses its commits. Callers wait until an
+	// entry decides again, so the row is no longer observed for its whole length.
 	@Test
 	void resignedTermIsTakenAtOnce() {
 		feed(new TermEvent.Tick());
@@ -81,8 +82,8 @@
 		assertThat(commits(feed(new TermEvent.RowRead(Optional.of(otherRow(4)), 9)))).isEmpty();
 	}
 
-	// A commit takes effect and its answer is lost. Sent again unchanged it meets its own
-	// number in the row, and what it kept counts as kept.
+	// A commit takes effect and its answer is lost. When it is sent again unchanged, it
+	// finds its own number in the row, and the data that it stored counts as saved.
 	@Test
 	void commitWithLostAnswerIsRecognizedByItsNumber() {
 		takeTerm();
@@ -93,8 +94,8 @@
 			.contains(new TermCommand.Saved(11));
 	}
 
-	// Guards against a store that resets each call and is called a hundred times a
-	// second.
+	// Guards against a tight retry loop: a store that resets each call would be called a
+	// hundred times a second.
 	@Test
 	void commitUnansweredTwiceIsRetriedAfterAPause() {
 		takeTerm();
@@ -127,8 +128,8 @@
 		assertThat(ended).isTrue();
 	}
 
-	// The store takes the commit and never answers. The answer is waited for longer each
-	// time; the holder does not wait for the end of such a wait to give the term up.
+	// The store accepts the commit and never answers. The wait for the answer grows with
+	// each retry; the holder resigns before such a wait ends.
 	@Test
 	void holderResignsWhenTheStoreDoesNotAnswer() {
 		takeTerm();
@@ -142,8 +143,9 @@
 		assertThat(this.now - sent).isLessThan(LENGTH_MILLIS / 2);
 	}
 
-	// Guards against a holder that waits for a slow store no longer than for a silent
-	// one, and leaves the term to entries that have to commit to the same store.
+	// Guards against a holder that waits no longer for a slow store than for one that
+	// does not answer, and leaves the term to entries that have to commit to the same
+	// store.
 	@Test
 	void holderKeepsItsTermWhileTheStoreIsSlow() {
 		takeTerm();
@@ -155,8 +157,8 @@
 		assertThat(feed(new TermEvent.Committed(commit.row().commit(), 30))).contains(new TermCommand.Saved(11));
 	}
 
-	// Guards against a holder that decides after a pause: it does not before its term is
-	// renewed, and never where another entry took the term.
+	// Guards against a holder that decides after a pause: it may not decide before its
+	// term is renewed, and never if another entry took the term.
 	@Test
 	void termOfAPausedHolderIsInvalidUntilRenewed() {
 		takeTerm();
@@ -184,8 +186,8 @@
 		assertThat(commitIn(feed(new TermEvent.RowRead(Optional.of(former), 9))).row().epoch()).isEqualTo(5);
 	}
 
-	// Guards against a term that nobody holds because its holder is gone before it heard
-	// that it took it.
+	// Guards against a term without a holder: the entry that took it exits before it
+	// receives the answer to its commit.
 	@Test
 	void termTakenDuringShutdownIsReleasedAtOnce() {
 		feed(new TermEvent.Tick());
--- a/core/src/test/java/org/almondmount/worker/WorkerManagerTests.java
+++ b/core/src/test/java/org/almondmount/worker/WorkerManagerTests.java
@@ -30,9 +30,9 @@
 
 	private long announcementCount;
 
-	// The process has just started and heard of no holder. It looks at the worker to
-	// learn which life is there. A lease that it made up would let tasks run on that the
-	// holder believes gone, and they would run twice.
+	// Guards against a lease that the target renews without a grant: tasks that the
+	// holder considers gone would continue, and would run twice. The process has just
+	// started and has no holder; it polls the worker to learn its incarnation.
 	@Test
 	void leaseIsNotRenewedWithoutAGrant() {
 		feed(new WorkerEvent.Tick());
@@ -43,9 +43,9 @@
 			.allMatch((poll) -> ((WorkerCommand.Poll) poll).leaseUntilMillis() == 0);
 	}
 
-	// The process was restarted and finds the holder before its worker has answered. The
-	// holder grants nothing for a worker that was not heard, and refused every order
-	// until the next heartbeat was due.
+	// Guards against orders that are refused after a restart. The process connects to the
+	// holder before its worker has answered; the holder grants no lease for such a
+	// worker, and every order would be refused until the next heartbeat is due.
 	@Test
 	void heartbeatIsSentAsSoonAsTheWorkerAnswersAfterARestart() {
 		feed(new WorkerEvent.HolderConnected(1));
@@ -55,10 +55,10 @@
 		assertThat(heartbeats()).last().isNotEqualTo(WorkerCommand.SendHeartbeat.WORKER_SILENT);
 	}
 
-	// A call that begins a run is not answered and the process is killed. The holder
-	// orders the run again; the new process knows nothing of the call, which the worker
-	// may still carry out. "Not begun" may only be said once the worker was told to stop
-	// the run.
+	// Guards against a run that starts after it was reported as not started. A start call
+	// is not answered and the process is killed; the holder repeats the order to a new
+	// process, which has no record of the call that the worker may still execute. The
+	// refusal may be reported only after the worker was ordered to stop the run.
 	@Test
 	void refusalIsReportedOnlyAfterTheRunWasStopped() {
 		feed(new WorkerEvent.Tick());
@@ -73,8 +73,9 @@
 		assertThat(this.commands).anyMatch(WorkerCommand.SendRunNotStarted.class::isInstance);
 	}
 
-	// The order lay in a connection that was cut; when it arrives the lease that was
-	// granted before it has run out, and the holder has started the task elsewhere.
+	// Guards against an order that is delivered late after a broken connection: the lease
+	// that was granted before has expired, and the holder has started the task on another
+	// worker.
 	@Test
 	void startOrderReceivedAfterLeaseExpiryIsRefused() {
 		connectWithLease();
@@ -83,8 +84,8 @@
 		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
 	}
 
-	// Guards against an end that is heard of up to a second late, because the worker was
-	// idle before the run began and is looked at only now and then.
+	// Guards against an end that is received up to a second late because the worker was
+	// idle before the run started and is polled only at intervals.
 	@Test
 	void longPollStartsAsSoonAsARunIsListed() {
 		connectWithLease();
@@ -97,7 +98,7 @@
 		assertThat(polls()).last().matches((last) -> last.maxWaitMillis() > 0);
 	}
 
-	// Guards against orders that vanish without a trace.
+	// Guards against orders that are dropped without being counted or logged.
 	@Test
 	void orderOfAnEarlierEpochOrAnotherIncarnationIsIgnoredWithAReason() {
 		connectWithLease();
@@ -109,9 +110,9 @@
 					new WorkerCommand.IgnoreOrder("stop", TASK, 1, 2, IgnoredReason.ANOTHER_LIFE));
 	}
 
-	// The process has just started. A look goes out before the worker has told its name
-	// and is answered after it has. The holder's orders name the worker and have to be
-	// obeyed.
+	// Guards against orders that are ignored after a start of the process. A poll is sent
+	// before the worker has announced its name and is answered afterwards without the
+	// name; the holder's orders contain the name and have to be executed.
 	@Test
 	void pollAnswerWithoutWorkerNameKeepsTheKnownName() {
 		feed(new WorkerEvent.Tick());
@@ -138,8 +139,8 @@
 		assertThat(this.commands).filteredOn(WorkerCommand.Start.class::isInstance).hasSize(2);
 	}
 
-	// Announcements overtake each other: an older one that says "ready" comes after the
-	// one that says "draining". Nothing may be started on a worker that leaves.
+	// Guards against a start on a draining worker: an older announcement with the state
+	// "ready" arrives after one with the state "draining".
 	@Test
 	void drainingWorkerStaysDrainingInItsIncarnation() {
 		connectWithLease();
@@ -149,7 +150,7 @@
 		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
 	}
 
-	// Guards against a start into room that the worker no longer has.
+	// Guards against a start that needs more capacity than the worker still has.
 	@Test
 	void startOrderBeyondTheCapacityIsRefused() {
 		connectWithLease();
@@ -159,7 +160,7 @@
 			.anyMatch(WorkerCommand.Stop.class::isInstance);
 	}
 
-	// Guards against room that an announcement tells of which a later one has overtaken.
+	// Guards against capacity from an announcement that a later one has overtaken.
 	@Test
 	void overtakenAnnouncementIsIgnored() {
 		connectWithLease();
@@ -170,8 +171,8 @@
 		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
 	}
 
-	// Guards against a crash under a run that reads like an order that was never carried
-	// out.
+	// Guards against a crash during a run that is reported like an order that was never
+	// executed.
 	@Test
 	void runsActiveDuringAWorkerCrashAreCounted() {
 		connectWithLease();
@@ -185,7 +186,8 @@
 				List.of(new WorkerReport.Crashed(INCARNATION, TASK, 1, 400))));
 	}
 
-	// Guards against a task that is blamed for a worker on which it was never begun.
+	// Guards against a crash that is attributed to a task that was never started on the
+	// worker.
 	@Test
 	void unansweredStartCallIsNotCountedAsCrash() {
 		connectWithLease();
@@ -194,7 +196,8 @@
 		assertThat(this.commands).noneMatch(WorkerCommand.CountCrash.class::isInstance);
 	}
 
-	// Guards against a task that is blamed for a worker that left at notice.
+	// Guards against a crash that is attributed to a task although the worker announced
+	// its shutdown.
 	@Test
 	void announcedShutdownIsNotCountedAsCrash() {
 		connectWithLease();
