--- a/core/src/main/java/org/almondmount/gang/impl/DefaultMemberManager.java
+++ b/core/src/main/java/org/almondmount/gang/impl/DefaultMemberManager.java
@@ -168,16 +168,16 @@
 
 	private Optional<String> refusalReason(Attempt attempt, JobSpec spec) {
 		if (this.draining) {
-			return Optional.of("the worker is leaving");
+			return Optional.of("the worker is draining");
 		}
 		if (this.fences.isFenced(attempt)) {
-			return Optional.of("the attempt or a later one was given up before");
+			return Optional.of("the attempt or a later one is fenced");
 		}
 		if (this.zone.isOut()) {
 			return Optional.of("the zone is out of service");
 		}
 		if (!this.fences.hasCapacity()) {
-			return Optional.of("the worker's memory of given-up attempts is full");
+			return Optional.of("the worker's table of fenced attempts is full");
 		}
 		Resources used = spec.shape().perMember();
 		for (MemberRecord member : this.members.values()) {
@@ -185,12 +185,12 @@
 				continue;
 			}
 			if (member.spec().isEmpty()) {
-				return Optional.of("a task of unknown size that was found running is not over yet");
+				return Optional.of("a running task of unknown size has not ended yet");
 			}
 			used = used.plus(member.spec().get().shape().perMember());
 		}
 		if (!used.fitsIn(this.policy.capacity())) {
-			return Optional.of("there is no room for it");
+			return Optional.of("the worker has too little free capacity");
 		}
 		return Optional.empty();
 	}
@@ -202,7 +202,7 @@
 					&& member.attempt().number() < attempt.number();
 			if (earlier) {
 				this.fences.fence(now, member.attempt());
-				release(now, member, "a later attempt takes its place");
+				release(now, member, "a later attempt replaces it");
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 		MemberRecord member = this.members.get(new MemberKey(attempt, number));
 		if (member == null) {
 			this.fences.fence(now, attempt);
-			this.commands.add(new MemberCommand.ReportRefused(attempt, number, "it is not held"));
+			this.commands.add(new MemberCommand.ReportRefused(attempt, number, "the member is not held"));
 			return;
 		}
 		if (member.phase() != Phase.HELD) {
@@ -220,7 +220,7 @@
 		}
 		if (!this.zone.allowsStart(now)) {
 			this.fences.fence(now, attempt);
-			release(now, member, "the zone is out of service or its state is not known freshly enough");
+			release(now, member, "the zone is out of service or its known state is too old");
 			return;
 		}
 		member.enterPhase(now, Phase.STARTING, now + this.policy.gangTimeout().toMillis());
@@ -233,7 +233,7 @@
 		this.fences.fence(now, attempt);
 		MemberRecord member = this.members.get(new MemberKey(attempt, number));
 		if (member != null) {
-			release(now, member, "it was aborted");
+			release(now, member, "the attempt was aborted");
 		}
 	}
 
@@ -244,7 +244,7 @@
 			return;
 		}
 		if (member.phase() == Phase.HELD) {
-			release(now, member, "it was suspended before it started");
+			release(now, member, "the member was suspended before it was started");
 			return;
 		}
 		suspend(now, member);
@@ -292,7 +292,7 @@
 			// The end of the attempt is recorded, so any member of it that is left here
 			// must not continue.
 			this.fences.fence(now, attempt);
-			release(now, member, "its attempt is over");
+			release(now, member, "the end of its attempt is recorded");
 		}
 	}
 
@@ -301,7 +301,7 @@
 		for (MemberRecord member : List.copyOf(this.members.values())) {
 			if (member.phase() == Phase.HELD) {
 				this.fences.fence(now, member.attempt());
-				release(now, member, "the worker is leaving");
+				release(now, member, "the worker is draining");
 			}
 			else if (member.canCheckpoint()) {
 				suspend(now, member);
@@ -369,7 +369,7 @@
 		switch (member.phase()) {
 			case HELD -> {
 				this.fences.fence(now, member.attempt());
-				release(now, member, "the time for which it was held ran out");
+				release(now, member, "the hold expired before the member was started");
 			}
 			case STARTING, RUNNING -> {
 				this.fences.fence(now, member.attempt());
--- a/core/src/main/java/org/almondmount/lease/impl/ObservedLeaseManager.java
+++ b/core/src/main/java/org/almondmount/lease/impl/ObservedLeaseManager.java
@@ -124,7 +124,7 @@
 			return;
 		}
 		if (this.epoch != 0) {
-			stepDown("entry " + current.holder() + " took the lease over under epoch " + current.epoch());
+			stepDown("entry " + current.holder() + " took over the lease under epoch " + current.epoch());
 		}
 		if (changed && !current.released()) {
 			this.commands.add(new LeaseCommand.HolderSeen(current.holder(), current.epoch(), current.address()));
@@ -237,7 +237,7 @@
 	// another entry may act at once.
 	private void commitRelease(long now) {
 		long heldEpoch = this.epoch;
-		stepDown("the entry shuts down");
+		stepDown("the entry is shutting down");
 		sendCommit(now, new LeaseRow(this.settings.self(), heldEpoch, this.settings.lengthMillis(),
 				++this.lastCommitNumber, this.settings.address(), true), false);
 	}
--- a/core/src/main/java/org/almondmount/term/TermManager.java
+++ b/core/src/main/java/org/almondmount/term/TermManager.java
@@ -352,7 +352,7 @@
 		this.pendingCommit = Optional.empty();
 		this.requestInFlight = false;
 		if (this.epoch != 0) {
-			endTerm("another entry took it");
+			endTerm("another entry took the term");
 		}
 		observeRow(now, conflict.row(), conflict.version());
 	}
@@ -416,7 +416,7 @@
 	// reaches the store.
 	private void handOver(long now) {
 		this.resignedEpoch = this.epoch;
-		endTerm("the store does not take this entry's commits");
+		endTerm("the store does not accept this entry's commits");
 		this.nextReadAt = now + this.settings.readIntervalMillis();
 	}
 
--- a/core/src/main/java/org/almondmount/worker/OrderedRun.java
+++ b/core/src/main/java/org/almondmount/worker/OrderedRun.java
@@ -28,7 +28,7 @@
 
 	private long retryStopAt = Long.MIN_VALUE;
 
-	private String notStartedReason = "stopped before it began";
+	private String notStartedReason = "stopped before it started";
 
 	OrderedRun(StartOrdered order) {
 		this.order = order;
--- a/core/src/main/java/org/almondmount/worker/WorkerManager.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerManager.java
@@ -259,16 +259,16 @@
 	private Optional<String> refusalReason(long now, WorkerEvent.StartOrdered order) {
 		Long sentAt = this.heartbeatSentAt.get(order.heartbeat());
 		if (sentAt == null || leaseUntilOnWorkerClock(now) == 0) {
-			return Optional.of("no lease");
+			return Optional.of("the target holds no valid lease");
 		}
 		if (this.description.isEmpty() || isDraining()) {
 			return Optional.of("draining");
 		}
 		if (now - this.describedAtMillis > DESCRIPTION_VALIDITY_MILLIS) {
-			return Optional.of("not announced lately");
+			return Optional.of("the last announcement of the worker is too old");
 		}
 		if (!order.capacity().fitsIn(this.description.get().capacity())) {
-			return Optional.of("its room has shrunk");
+			return Optional.of("the capacity of the worker has shrunk");
 		}
 		return Optional.empty();
 	}
@@ -333,11 +333,11 @@
 			return;
 		}
 		for (WorkerReport.Running run : this.running) {
-			this.commands.add(new WorkerCommand.SendRunNotStarted(run.task(), run.run(), "the worker left"));
+			this.commands.add(new WorkerCommand.SendRunNotStarted(run.task(), run.run(), "the worker has shut down"));
 		}
 		for (OrderedRun run : this.orders.values()) {
-			this.commands
-				.add(new WorkerCommand.SendRunNotStarted(run.order().task(), run.order().run(), "the worker left"));
+			this.commands.add(new WorkerCommand.SendRunNotStarted(run.order().task(), run.order().run(),
+					"the worker has shut down"));
 		}
 		this.running = List.of();
 		this.orders.clear();
--- a/core/src/test/java/org/almondmount/gang/MemberManagerTests.java
+++ b/core/src/test/java/org/almondmount/gang/MemberManagerTests.java
@@ -208,7 +208,7 @@
 		feed(new MemberEvent.StartReceived(1, FIRST, 0));
 		assertNothingStarts();
 		assertThat(this.commands)
-			.contains(new MemberCommand.ReportRefused(FIRST, 0, "the time for which it was held ran out"));
+			.contains(new MemberCommand.ReportRefused(FIRST, 0, "the hold expired before the member was started"));
 	}
 
 	@Test
