--- a/core/src/main/java/org/almondmount/gang/impl/AttemptFences.java
+++ b/core/src/main/java/org/almondmount/gang/impl/AttemptFences.java
@@ -8,58 +8,60 @@
 import org.almondmount.model.JobId;
 
 /**
- * The highest attempt of each job that was given up. Bounded; not thread-safe.
+ * The highest fenced attempt of each job; no order for it or an earlier attempt is
+ * accepted. Bounded; not thread-safe.
  * <p>
- * An abort can overtake the order that it takes back, and a copy of an old order can come
- * late. Without a fence the old attempt would start beside its successor: the job would
- * run twice, one of them partially.
+ * An abort can overtake the order that it revokes, and a duplicate of an old order can
+ * arrive late. Without a fence the old attempt would start beside its successor: the job
+ * would run twice, once of them partially.
  */
 final class AttemptFences {
 
-	private final long rememberMillis;
+	private final long retentionMillis;
 
-	private final int most;
+	private final int maxJobs;
 
 	private final Map<JobId, Fence> fences = new LinkedHashMap<>();
 
-	AttemptFences(long rememberMillis, int most) {
-		this.rememberMillis = rememberMillis;
-		this.most = most;
+	AttemptFences(long retentionMillis, int maxJobs) {
+		this.retentionMillis = retentionMillis;
+		this.maxJobs = maxJobs;
 	}
 
 	/**
-	 * Gives up an attempt and all before it.
+	 * Fences an attempt and all earlier ones of its job.
 	 * @param now the time
 	 * @param attempt the attempt
 	 */
-	void giveUp(long now, Attempt attempt) {
-		Fence known = this.fences.remove(attempt.job());
-		int number = (known != null) ? Math.max(known.number(), attempt.number()) : attempt.number();
-		this.fences.put(attempt.job(), new Fence(number, now + this.rememberMillis));
+	void fence(long now, Attempt attempt) {
+		Fence previous = this.fences.remove(attempt.job());
+		int attemptNumber = (previous != null) ? Math.max(previous.attemptNumber(), attempt.number())
+				: attempt.number();
+		this.fences.put(attempt.job(), new Fence(attemptNumber, now + this.retentionMillis));
 	}
 
-	boolean isGivenUp(Attempt attempt) {
+	boolean isFenced(Attempt attempt) {
 		Fence fence = this.fences.get(attempt.job());
-		return fence != null && attempt.number() <= fence.number();
+		return fence != null && attempt.number() <= fence.attemptNumber();
 	}
 
 	/**
-	 * Whether another job may be taken on: with a full memory its abort could be
-	 * forgotten.
-	 * @return false when the memory is full
+	 * Returns whether another job may be accepted. At full capacity a later abort of the
+	 * job could not be remembered.
+	 * @return false if the table is full
 	 */
-	boolean hasRoom() {
-		return this.fences.size() < this.most;
+	boolean hasCapacity() {
+		return this.fences.size() < this.maxJobs;
 	}
 
 	void expire(long now) {
 		Iterator<Fence> oldestFirst = this.fences.values().iterator();
-		while (oldestFirst.hasNext() && oldestFirst.next().until() <= now) {
+		while (oldestFirst.hasNext() && oldestFirst.next().expiresAtMillis() <= now) {
 			oldestFirst.remove();
 		}
 	}
 
-	private record Fence(int number, long until) {
+	private record Fence(int attemptNumber, long expiresAtMillis) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
@@ -8,7 +8,7 @@
 import org.almondmount.model.JobSpec;
 
 /**
- * One member at this worker. Not thread-safe.
+ * One member on this worker. Not thread-safe.
  */
 final class MemberRecord {
 
@@ -22,17 +22,17 @@
 
 	private Phase phase;
 
-	private JobOutcome ending;
+	private JobOutcome outcome;
 
 	private long deadline;
 
-	private long renewAt;
+	private long nextRenewalAt;
 
-	private long reportAt;
+	private long nextReportAt;
 
-	private long phaseBegan;
+	private long phaseStartedAt;
 
-	private int endReports;
+	private int endReportCount;
 
 	MemberRecord(Attempt attempt, int member, Optional<JobSpec> spec, boolean fromCheckpoint) {
 		this.attempt = attempt;
@@ -50,7 +50,8 @@
 	}
 
 	/**
-	 * The job; empty for a task that was found running and that nobody here started.
+	 * Returns the job; empty for a task that was found running and was not started by
+	 * this process.
 	 * @return the job
 	 */
 	Optional<JobSpec> spec() {
@@ -69,74 +70,74 @@
 	 * Enters a phase.
 	 * @param now the time
 	 * @param newPhase the phase
-	 * @param until when it has to be left again
+	 * @param newDeadline when the phase has to end
 	 */
-	void enter(long now, Phase newPhase, long until) {
+	void enterPhase(long now, Phase newPhase, long newDeadline) {
 		this.phase = newPhase;
-		this.phaseBegan = now;
-		this.deadline = until;
-		this.reportAt = now;
+		this.phaseStartedAt = now;
+		this.deadline = newDeadline;
+		this.nextReportAt = now;
 	}
 
-	long phaseBegan() {
-		return this.phaseBegan;
+	long phaseStartedAt() {
+		return this.phaseStartedAt;
 	}
 
 	long deadline() {
 		return this.deadline;
 	}
 
-	void extend(long until) {
-		this.deadline = Math.max(this.deadline, until);
+	void extendDeadline(long newDeadline) {
+		this.deadline = Math.max(this.deadline, newDeadline);
 	}
 
-	long renewAt() {
-		return this.renewAt;
+	long nextRenewalAt() {
+		return this.nextRenewalAt;
 	}
 
-	void renewNext(long at) {
-		this.renewAt = at;
+	void scheduleRenewal(long at) {
+		this.nextRenewalAt = at;
 	}
 
-	long reportAt() {
-		return this.reportAt;
+	long nextReportAt() {
+		return this.nextReportAt;
 	}
 
-	void reportNext(long at) {
-		this.reportAt = at;
+	void scheduleReport(long at) {
+		this.nextReportAt = at;
 	}
 
-	JobOutcome ending() {
-		return this.ending;
+	JobOutcome outcome() {
+		return this.outcome;
 	}
 
-	void end(long now, JobOutcome how) {
-		this.ending = how;
-		enter(now, Phase.ENDED, Long.MAX_VALUE);
+	void recordEnd(long now, JobOutcome newOutcome) {
+		this.outcome = newOutcome;
+		enterPhase(now, Phase.ENDED, Long.MAX_VALUE);
 	}
 
-	int endReports() {
-		return this.endReports;
+	int endReportCount() {
+		return this.endReportCount;
 	}
 
 	void countEndReport() {
-		this.endReports++;
+		this.endReportCount++;
 	}
 
-	boolean usesRoom() {
+	boolean usesCapacity() {
 		return this.phase != Phase.ENDED;
 	}
 
-	boolean checkpoints() {
+	boolean canCheckpoint() {
 		return this.spec.isEmpty() || this.spec.get().checkpoints();
 	}
 
-	Optional<HeldMember> held() {
+	Optional<HeldMember> toHeldMember() {
 		if (this.spec.isEmpty()) {
 			return Optional.empty();
 		}
 		boolean running = this.phase == Phase.RUNNING
-				|| (this.phase == Phase.ENDED && this.ending == JobOutcome.SUCCEEDED);
+				|| (this.phase == Phase.ENDED && this.outcome == JobOutcome.SUCCEEDED);
 		if (!running && this.phase != Phase.HELD && this.phase != Phase.STARTING) {
 			return Optional.empty();
 		}
@@ -144,29 +145,37 @@
 	}
 
 	/**
-	 * Where a member stands.
+	 * The phase of a member.
 	 */
 	enum Phase {
 
-		/** Room is held; the deadline ends the hold. */
+		/** Capacity is held; the hold expires at the deadline. */
 		HELD,
 
-		/** The worker was told to start; the deadline is the gang lease's. */
+		/**
+		 * The worker was ordered to start the task; the deadline is the end of the gang
+		 * lease.
+		 */
 		STARTING,
 
-		/** The worker says that it runs; the deadline is the gang lease's. */
+		/**
+		 * The worker reports that the task runs; the deadline is the end of the gang
+		 * lease.
+		 */
 		RUNNING,
 
-		/** The worker was told to suspend; at the deadline it is stopped. */
+		/**
+		 * The worker was ordered to suspend the task, which is stopped at the deadline.
+		 */
 		SUSPENDING,
 
 		/**
-		 * The worker was told to stop and its lease is not renewed any more; at the
-		 * deadline the lease has run out for certain.
+		 * The worker was ordered to stop the task and its lease is no longer renewed; at
+		 * the deadline the lease has certainly expired.
 		 */
 		STOPPING,
 
-		/** Over; reported until an entry forgets the attempt. */
+		/** The task ended; reported until an entry has recorded the end. */
 		ENDED
 
 	}
--- a/core/src/main/java/org/almondmount/worker/WorkerEvent.java
+++ b/core/src/main/java/org/almondmount/worker/WorkerEvent.java
@@ -9,88 +9,92 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * Everything that the keeper of a worker is told. Immutable.
+ * The events that the manager of a worker handles. Immutable.
  */
 public sealed interface WorkerEvent {
 
 	/**
-	 * The worker described itself.
+	 * The worker announced itself.
 	 *
-	 * @param worker what it said
-	 * @param announcement counts what this life of the worker announces
+	 * @param description the description in the announcement
+	 * @param announcementNumber counts the announcements of this incarnation of the
+	 * worker
 	 */
-	record Described(WorkerDescription worker, long announcement) implements WorkerEvent {
+	record WorkerAnnounced(WorkerDescription description, long announcementNumber) implements WorkerEvent {
 	}
 
-	/** The worker said that it ends now. */
-	record Left(String worker) implements WorkerEvent {
+	/** The worker announced that it shuts down now. */
+	record WorkerLeaving(String worker) implements WorkerEvent {
 	}
 
-	/** A holder of the term was found, or found again after a lost connection. */
-	record HolderFound(long epoch) implements WorkerEvent {
+	/**
+	 * The holder of the term was connected, for the first time or after a lost
+	 * connection.
+	 */
+	record HolderConnected(long epoch) implements WorkerEvent {
 	}
 
-	/** The connection to the holder is gone. */
-	record HolderGone() implements WorkerEvent {
+	/** The connection to the holder is lost. */
+	record HolderDisconnected() implements WorkerEvent {
 	}
 
 	/** The holder grants the lease, counted from when that heartbeat was sent. */
-	record Granted(long epoch, long heartbeat, long leaseMillis) implements WorkerEvent {
+	record LeaseGranted(long epoch, long heartbeat, long leaseMillis) implements WorkerEvent {
 	}
 
 	/**
-	 * The holder orders a run to begin.
+	 * The holder orders a run to be started.
 	 *
 	 * @param epoch the holder's epoch
-	 * @param heartbeat the last heartbeat that the holder had heard
-	 * @param life the life of the worker that it means
+	 * @param heartbeat the last heartbeat that the holder had received
+	 * @param incarnation the incarnation of the worker for which the order is meant
 	 * @param task the task
 	 * @param run the run's number
-	 * @param program what to run
-	 * @param checkpoint where to go on, or empty
-	 * @param capacity the worker's capacity by which the holder chose it
+	 * @param program the program to run
+	 * @param checkpoint the checkpoint to continue from, or empty
+	 * @param capacity the capacity of the worker that the holder assumed
 	 */
-	record StartOrdered(long epoch, long heartbeat, WorkerIncarnation life, TaskId task, int run, String program,
+	record StartOrdered(long epoch, long heartbeat, WorkerIncarnation incarnation, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements WorkerEvent {
 	}
 
-	/** The holder orders a run to end, or never to begin. */
-	record StopOrdered(long epoch, WorkerIncarnation life, TaskId task, int run) implements WorkerEvent {
+	/** The holder orders a run to be stopped, or never to be started. */
+	record StopOrdered(long epoch, WorkerIncarnation incarnation, TaskId task, int run) implements WorkerEvent {
 	}
 
-	/** Ends up to that number are kept. */
-	record EndsKept(long epoch, WorkerIncarnation life, long upTo) implements WorkerEvent {
+	/** The holder has recorded the ends up to that number. */
+	record EndsRecorded(long epoch, WorkerIncarnation incarnation, long upTo) implements WorkerEvent {
 	}
 
 	/**
-	 * The worker answered a look.
+	 * The worker answered a poll.
 	 *
-	 * @param look the look's number
-	 * @param life the life that answered
+	 * @param pollNumber the poll's number
+	 * @param incarnation the incarnation that answered
 	 * @param clockMillis the worker's clock when it answered
-	 * @param running what runs
-	 * @param ended what ended and was not acknowledged
+	 * @param running the active runs
+	 * @param ended the runs that ended and were not acknowledged
 	 */
-	record Looked(long look, WorkerIncarnation life, long clockMillis, List<WorkerReport.Running> running,
-			List<WorkerReport.Ended> ended) implements WorkerEvent {
+	record PollAnswered(long pollNumber, WorkerIncarnation incarnation, long clockMillis,
+			List<WorkerReport.Running> running, List<WorkerReport.Ended> ended) implements WorkerEvent {
 
-		public Looked {
+		public PollAnswered {
 			running = List.copyOf(running);
 			ended = List.copyOf(ended);
 		}
 
 	}
 
-	/** The worker did not answer a look. */
-	record LookFailed(long look, String why) implements WorkerEvent {
+	/** The worker did not answer a poll. */
+	record PollFailed(long pollNumber, String reason) implements WorkerEvent {
 	}
 
-	/** What came of a call that begins a run. */
-	record StartEnded(TaskId task, int run, CallEnding ending, String why) implements WorkerEvent {
+	/** The outcome of a call that starts a run. */
+	record StartCallEnded(TaskId task, int run, CallOutcome outcome, String reason) implements WorkerEvent {
 	}
 
-	/** What came of a call that ends a run. */
-	record StopEnded(TaskId task, int run, CallEnding ending) implements WorkerEvent {
+	/** The outcome of a call that stops a run. */
+	record StopCallEnded(TaskId task, int run, CallOutcome outcome) implements WorkerEvent {
 	}
 
 	/** Time has passed. */
@@ -98,17 +102,17 @@
 	}
 
 	/**
-	 * What came of a call to the worker.
+	 * The outcome of a call to the worker.
 	 */
-	enum CallEnding {
+	enum CallOutcome {
 
-		/** It was done. */
+		/** The call was executed. */
 		DONE,
 
-		/** It was refused: nothing was done. */
+		/** The call was refused and had no effect. */
 		REFUSED,
 
-		/** It was not answered: it may have been done, or may still be. */
+		/** The call was not answered: it may have been executed, or may be later. */
 		UNANSWERED
 
 	}
--- /dev/null
+++ b/core/src/test/java/org/almondmount/worker/WorkerManagerTests.java
@@ -0,0 +1,268 @@
+package org.almondmount.worker;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+
+import org.almondmount.worker.WorkerEvent.CallOutcome;
+import org.almondmount.workflow.ResourceAmount;
+import org.almondmount.workflow.TaskId;
+import org.almondmount.workflow.WorkerDescription;
+import org.almondmount.workflow.WorkerIncarnation;
+import org.almondmount.workflow.WorkerReport;
+import org.junit.jupiter.api.Test;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class WorkerManagerTests {
+
+	private static final WorkerIncarnation INCARNATION = new WorkerIncarnation("w", 500);
+
+	private static final ResourceAmount CAPACITY = new ResourceAmount(8_000, 8_000, 8);
+
+	private static final TaskId TASK = new TaskId("j", 0, 0, 0);
+
+	private final WorkerManager manager = new WorkerManager("t", WorkerPolicy.DEFAULT);
+
+	private final List<WorkerCommand> commands = new ArrayList<>();
+
+	private long now = 10_000;
+
+	private long announcementCount;
+
+	// Guards against a lease that the target renews without a grant: tasks that the
+	// holder considers gone would continue, and would run twice. The process has just
+	// started and has no holder; it polls the worker to learn its incarnation.
+	@Test
+	void leaseIsNotRenewedWithoutAGrant() {
+		feed(new WorkerEvent.Tick());
+		answerPolls();
+		this.now += 2_000;
+		feed(new WorkerEvent.Tick());
+		assertThat(this.commands).filteredOn(WorkerCommand.Poll.class::isInstance)
+			.allMatch((poll) -> ((WorkerCommand.Poll) poll).leaseUntilMillis() == 0);
+	}
+
+	// Guards against orders that are refused after a restart. The process connects to the
+	// holder before its worker has answered; the holder grants no lease for such a
+	// worker, and every order would be refused until the next heartbeat is due.
+	@Test
+	void heartbeatIsSentAsSoonAsTheWorkerAnswersAfterARestart() {
+		feed(new WorkerEvent.HolderConnected(1));
+		assertThat(heartbeats()).containsOnly(WorkerCommand.SendHeartbeat.WORKER_SILENT);
+		feed(new WorkerEvent.WorkerAnnounced(description(false), ++this.announcementCount));
+		answerPolls();
+		assertThat(heartbeats()).last().isNotEqualTo(WorkerCommand.SendHeartbeat.WORKER_SILENT);
+	}
+
+	// Guards against a run that starts after it was reported as not started. A start call
+	// is not answered and the process is killed; the holder repeats the order to a new
+	// process, which has no record of the call that the worker may still execute. The
+	// refusal may be reported only after the worker was ordered to stop the run.
+	@Test
+	void refusalIsReportedOnlyAfterTheRunWasStopped() {
+		feed(new WorkerEvent.Tick());
+		answerPolls();
+		feed(new WorkerEvent.HolderConnected(1));
+		feed(new WorkerEvent.LeaseGranted(1, 1, 6_000));
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		assertThat(this.commands).noneMatch(WorkerCommand.SendRunNotStarted.class::isInstance);
+		assertThat(this.commands).anyMatch(WorkerCommand.Stop.class::isInstance);
+		feed(new WorkerEvent.StopCallEnded(TASK, 1, CallOutcome.DONE));
+		answerPolls();
+		assertThat(this.commands).anyMatch(WorkerCommand.SendRunNotStarted.class::isInstance);
+	}
+
+	// Guards against an order that is delivered late after a broken connection: the lease
+	// that was granted before has expired, and the holder has started the task on another
+	// worker.
+	@Test
+	void startOrderReceivedAfterLeaseExpiryIsRefused() {
+		connectWithLease();
+		this.now += 7_000;
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
+	}
+
+	// Guards against an end that is received up to a second late because the worker was
+	// idle before the run started and is polled only at intervals.
+	@Test
+	void longPollStartsAsSoonAsARunIsListed() {
+		connectWithLease();
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		this.commands.clear();
+		feed(new WorkerEvent.StartCallEnded(TASK, 1, CallOutcome.DONE, ""));
+		long pollNumber = polls().get(0).pollNumber();
+		List<WorkerReport.Running> running = List.of(new WorkerReport.Running(TASK, 1, "", 0));
+		feed(new WorkerEvent.PollAnswered(pollNumber, INCARNATION, 900, running, List.of()));
+		assertThat(polls()).last().matches((last) -> last.maxWaitMillis() > 0);
+	}
+
+	// Guards against orders that are dropped without being counted or logged.
+	@Test
+	void orderOfAnEarlierEpochOrAnotherIncarnationIsIgnoredWithAReason() {
+		connectWithLease();
+		feed(new WorkerEvent.HolderConnected(2));
+		feed(new WorkerEvent.StopOrdered(1, INCARNATION, TASK, 1));
+		feed(new WorkerEvent.StopOrdered(2, new WorkerIncarnation("w", 400), TASK, 1));
+		assertThat(this.commands).noneMatch(WorkerCommand.Stop.class::isInstance)
+			.contains(new WorkerCommand.IgnoreOrder("stop", TASK, 1, 1, IgnoredReason.OLD_EPOCH),
+					new WorkerCommand.IgnoreOrder("stop", TASK, 1, 2, IgnoredReason.ANOTHER_LIFE));
+	}
+
+	// Guards against orders that are ignored after a start of the process. A poll is sent
+	// before the worker has announced its name and is answered afterwards without the
+	// name; the holder's orders contain the name and have to be executed.
+	@Test
+	void pollAnswerWithoutWorkerNameKeepsTheKnownName() {
+		feed(new WorkerEvent.Tick());
+		feed(new WorkerEvent.WorkerAnnounced(description(false), ++this.announcementCount));
+		feed(new WorkerEvent.HolderConnected(1));
+		feed(new WorkerEvent.PollAnswered(1, new WorkerIncarnation("", INCARNATION.startedAtMillis()), 900, List.of(),
+				List.of()));
+		feed(new WorkerEvent.StopOrdered(1, INCARNATION, TASK, 1));
+		assertThat(this.commands).anyMatch(WorkerCommand.Stop.class::isInstance);
+	}
+
+	@Test
+	void startOrderOfAnEarlierEpochIsIgnored() {
+		connectWithLease();
+		feed(new WorkerEvent.HolderConnected(2));
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
+	}
+
+	@Test
+	void unansweredStartCallIsRetried() {
+		connectWithLease();
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		feed(new WorkerEvent.StartCallEnded(TASK, 1, CallOutcome.UNANSWERED, "no answer"));
+		assertThat(this.commands).filteredOn(WorkerCommand.Start.class::isInstance).hasSize(2);
+	}
+
+	// Guards against a start on a draining worker: an older announcement with the state
+	// "ready" arrives after one with the state "draining".
+	@Test
+	void drainingWorkerStaysDrainingInItsIncarnation() {
+		connectWithLease();
+		feed(new WorkerEvent.WorkerAnnounced(description(true), ++this.announcementCount));
+		feed(new WorkerEvent.WorkerAnnounced(description(false), ++this.announcementCount));
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
+	}
+
+	// Guards against a start that needs more capacity than the worker still has.
+	@Test
+	void startOrderBeyondTheCapacityIsRefused() {
+		connectWithLease();
+		ResourceAmount more = new ResourceAmount(8_000, 8_000, 9);
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", more));
+		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance)
+			.anyMatch(WorkerCommand.Stop.class::isInstance);
+	}
+
+	// Guards against capacity from an announcement that a later one has overtaken.
+	@Test
+	void overtakenAnnouncementIsIgnored() {
+		connectWithLease();
+		ResourceAmount less = new ResourceAmount(8_000, 8_000, 4);
+		feed(new WorkerEvent.WorkerAnnounced(description(INCARNATION, less, false), 9));
+		feed(new WorkerEvent.WorkerAnnounced(description(INCARNATION, CAPACITY, false), 8));
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		assertThat(this.commands).noneMatch(WorkerCommand.Start.class::isInstance);
+	}
+
+	// Guards against a crash during a run that is reported like an order that was never
+	// executed.
+	@Test
+	void runsActiveDuringAWorkerCrashAreCounted() {
+		connectWithLease();
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		feed(new WorkerEvent.StartCallEnded(TASK, 1, CallOutcome.DONE, ""));
+		this.now += 400;
+		answerWithRunning(TASK);
+		this.now += 3_000;
+		feed(new WorkerEvent.WorkerAnnounced(description(new WorkerIncarnation("w", 4_000), false),
+				++this.announcementCount));
+		assertThat(this.commands).contains(new WorkerCommand.CountCrash(INCARNATION,
+				List.of(new WorkerReport.Crashed(INCARNATION, TASK, 1, 400))));
+	}
+
+	// Guards against a crash that is attributed to a task that was never started on the
+	// worker.
+	@Test
+	void unansweredStartCallIsNotCountedAsCrash() {
+		connectWithLease();
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		feed(new WorkerEvent.WorkerAnnounced(description(new WorkerIncarnation("w", 4_000), false),
+				++this.announcementCount));
+		assertThat(this.commands).noneMatch(WorkerCommand.CountCrash.class::isInstance);
+	}
+
+	// Guards against a crash that is attributed to a task although the worker announced
+	// its shutdown.
+	@Test
+	void announcedShutdownIsNotCountedAsCrash() {
+		connectWithLease();
+		feed(new WorkerEvent.StartOrdered(1, 1, INCARNATION, TASK, 1, "program", "", CAPACITY));
+		feed(new WorkerEvent.StartCallEnded(TASK, 1, CallOutcome.DONE, ""));
+		feed(new WorkerEvent.WorkerAnnounced(description(true), ++this.announcementCount));
+		feed(new WorkerEvent.WorkerAnnounced(description(new WorkerIncarnation("w", 4_000), false),
+				++this.announcementCount));
+		assertThat(this.commands).noneMatch(WorkerCommand.CountCrash.class::isInstance);
+	}
+
+	private void connectWithLease() {
+		feed(new WorkerEvent.Tick());
+		feed(new WorkerEvent.WorkerAnnounced(description(false), ++this.announcementCount));
+		answerPolls();
+		feed(new WorkerEvent.HolderConnected(1));
+		answerPolls();
+		feed(new WorkerEvent.LeaseGranted(1, 1, 6_000));
+	}
+
+	private static WorkerDescription description(boolean draining) {
+		return description(INCARNATION, draining);
+	}
+
+	private static WorkerDescription description(WorkerIncarnation incarnation, boolean draining) {
+		return description(incarnation, CAPACITY, draining);
+	}
+
+	private static WorkerDescription description(WorkerIncarnation incarnation, ResourceAmount capacity,
+			boolean draining) {
+		return new WorkerDescription(incarnation, "pool", "zone", Set.of("r1-1"), capacity, draining, 0);
+	}
+
+	private List<Long> heartbeats() {
+		return this.commands.stream()
+			.filter(WorkerCommand.SendHeartbeat.class::isInstance)
+			.map((heartbeat) -> ((WorkerCommand.SendHeartbeat) heartbeat).heartbeat())
+			.toList();
+	}
+
+	private List<WorkerCommand.Poll> polls() {
+		return this.commands.stream()
+			.filter(WorkerCommand.Poll.class::isInstance)
+			.map(WorkerCommand.Poll.class::cast)
+			.toList();
+	}
+
+	private void answerPolls() {
+		for (WorkerCommand command : List.copyOf(this.commands)) {
+			if (command instanceof WorkerCommand.Poll poll) {
+				feed(new WorkerEvent.PollAnswered(poll.pollNumber(), INCARNATION, 900, List.of(), List.of()));
+			}
+		}
+	}
+
+	private void answerWithRunning(TaskId task) {
+		List<WorkerReport.Running> running = List.of(new WorkerReport.Running(task, 1, "", 0));
+		feed(new WorkerEvent.PollAnswered(1, INCARNATION, 900, running, List.of()));
+	}
+
+	private void feed(WorkerEvent event) {
+		this.commands.addAll(this.manager.handle(this.now, event));
+	}
+
+}
