--- a/fleet/src/main/java/org/almondmount/fleet/StorePatience.java
+++ b/fleet/src/main/java/org/almondmount/fleet/AdaptiveStoreTimeout.java
@@ -11,48 +11,48 @@
  * up and sent again, which makes it slower still. So the time follows the answers and
  * doubles with each one that does not come.
  */
-public final class StorePatience {
+public final class AdaptiveStoreTimeout {
 
 	/** Nothing shorter: a process may be held up itself for so long, in milliseconds. */
-	private static final double SHORTEST_MILLIS = 150;
+	private static final double MIN_TIMEOUT_MILLIS = 150;
 
 	/** Nothing longer: half of the three seconds that most callers give. */
-	private static final double LONGEST_MILLIS = 1_200;
+	private static final double MAX_TIMEOUT_MILLIS = 1_200;
 
 	/** Answers come within six times the usual but for one in some thousand. */
-	private static final double TIMES_THE_USUAL = 6;
+	private static final double AVERAGE_MULTIPLIER = 6;
 
 	/** A slow store takes longer for an answer, in milliseconds. */
-	private static final long QUICK_MILLIS = 100;
+	private static final long MAX_QUICK_ANSWER_MILLIS = 100;
 
-	private static final double WEIGHT_OF_THE_LAST = 0.3;
+	private static final double SMOOTHING_FACTOR = 0.3;
 
-	private static final int MOST_DOUBLINGS = 3;
+	private static final int MAX_DOUBLINGS = 3;
 
 	/**
 	 * What is expected before the first answers, in milliseconds. A process that has just
 	 * started is slow itself: its first answers took up to 200 ms, and one given up too
 	 * early makes it refuse callers.
 	 */
-	private static final double FIRST_MILLIS = 100;
+	private static final double INITIAL_AVERAGE_MILLIS = 100;
 
-	private double usualMillis = FIRST_MILLIS;
+	private double averageMillis = INITIAL_AVERAGE_MILLIS;
 
-	private boolean quick;
+	private boolean lastAnswerQuick;
 
-	private int silences;
+	private int consecutiveTimeouts;
 
 	private boolean answering = true;
 
-	private Runnable whenSilent = () -> {
+	private Runnable onSilence = () -> {
 	};
 
 	/**
 	 * How long an answer is of any use.
 	 * @return the longest that {@link #timeout()} becomes
 	 */
-	public static Duration longest() {
-		return Duration.ofMillis((long) LONGEST_MILLIS);
+	public static Duration maxTimeout() {
+		return Duration.ofMillis((long) MAX_TIMEOUT_MILLIS);
 	}
 
 	/**
@@ -60,19 +60,20 @@
 	 * @return the time
 	 */
 	public Duration timeout() {
-		double millis = Math.max(SHORTEST_MILLIS, this.usualMillis * TIMES_THE_USUAL) * (1 << this.silences);
-		return Duration.ofMillis((long) Math.min(LONGEST_MILLIS, millis));
+		double millis = Math.max(MIN_TIMEOUT_MILLIS, this.averageMillis * AVERAGE_MULTIPLIER)
+				* (1 << this.consecutiveTimeouts);
+		return Duration.ofMillis((long) Math.min(MAX_TIMEOUT_MILLIS, millis));
 	}
 
 	/**
 	 * An answer came.
-	 * @param millis after which time
+	 * @param durationMillis after which time
 	 */
-	public void answered(long millis) {
-		this.usualMillis += WEIGHT_OF_THE_LAST * (millis - this.usualMillis);
-		this.silences = 0;
+	public void onAnswer(long durationMillis) {
+		this.averageMillis += SMOOTHING_FACTOR * (durationMillis - this.averageMillis);
+		this.consecutiveTimeouts = 0;
 		this.answering = true;
-		this.quick = millis <= QUICK_MILLIS;
+		this.lastAnswerQuick = durationMillis <= MAX_QUICK_ANSWER_MILLIS;
 	}
 
 	/**
@@ -81,24 +82,24 @@
 	 * @return whether it did
 	 */
 	public boolean answersQuickly() {
-		return this.quick;
+		return this.lastAnswerQuick;
 	}
 
 	/**
 	 * Has something done each time a store that answered falls silent.
 	 * @param listener what to do
 	 */
-	public void whenSilent(Runnable listener) {
-		this.whenSilent = listener;
+	public void onSilence(Runnable listener) {
+		this.onSilence = listener;
 	}
 
 	/** No answer came. */
-	public void silent() {
-		this.silences = Math.min(MOST_DOUBLINGS, this.silences + 1);
-		boolean answered = this.answering;
+	public void onTimeout() {
+		this.consecutiveTimeouts = Math.min(MAX_DOUBLINGS, this.consecutiveTimeouts + 1);
+		boolean wasAnswering = this.answering;
 		this.answering = false;
-		if (answered) {
-			this.whenSilent.run();
+		if (wasAnswering) {
+			this.onSilence.run();
 		}
 	}
 
@@ -106,7 +107,7 @@
 	 * Another process waits for an answer in vain, so that the next one here is doubtful
 	 * too.
 	 */
-	public void doubt() {
+	public void onPeerSilence() {
 		this.answering = false;
 	}
 
@@ -114,7 +115,7 @@
 	 * Whether a call would probably not be answered: the last one was not.
 	 * @return whether calls had better not be sent
 	 */
-	public boolean expectsSilence() {
+	public boolean isSilenceExpected() {
 		return !this.answering;
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/Loop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
@@ -8,7 +8,7 @@
 /**
  * Where a process decides, one thing after the other, with its clocks and alarms.
  */
-public interface Loop extends AutoCloseable {
+public interface EventLoop extends AutoCloseable {
 
 	/** Begins to take work. */
 	void start();
@@ -27,38 +27,38 @@
 
 	/**
 	 * Has something done in its turn.
-	 * @param work what to do
+	 * @param task what to do
 	 * @return false when too much waits; then it is not done
 	 */
-	boolean run(Runnable work);
+	boolean execute(Runnable task);
 
 	/**
 	 * Has something done again and again.
-	 * @param everyMillis the interval
-	 * @param work what to do
+	 * @param intervalMillis the interval
+	 * @param task what to do
 	 */
-	void every(long everyMillis, Runnable work);
+	void scheduleRepeatedly(long intervalMillis, Runnable task);
 
 	/**
 	 * Has something done later.
 	 * @param delayMillis after which time
-	 * @param work what to do
+	 * @param task what to do
 	 */
-	void after(long delayMillis, Runnable work);
+	void schedule(long delayMillis, Runnable task);
 
 	/**
 	 * Has the outcome of something taken in its turn.
 	 * @param future completes elsewhere, never exceptionally
-	 * @param taker takes the value
+	 * @param consumer takes the value
 	 * @param <T> the value
 	 */
-	default <T> void then(CompletableFuture<T> future, Consumer<T> taker) {
+	default <T> void onCompletion(CompletableFuture<T> future, Consumer<T> consumer) {
 		future.whenComplete((value, failure) -> {
 			if (failure != null) {
-				EventLog.of(Loop.class).fault("future-failed", failure);
+				EventLog.of(EventLoop.class).fault("future-failed", failure);
 				return;
 			}
-			run(() -> taker.accept(value));
+			execute(() -> consumer.accept(value));
 		});
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/JobAnswer.java
+++ b/fleet/src/main/java/org/almondmount/fleet/JobAnswer.java
@@ -11,9 +11,9 @@
 	 * Where the job stands.
 	 *
 	 * @param phase its phase
-	 * @param why why it was given up, or empty
+	 * @param reason why it was given up, or empty
 	 */
-	record Known(JobPhase phase, String why) implements JobAnswer {
+	record Known(JobPhase phase, String reason) implements JobAnswer {
 
 		public Known(JobPhase phase) {
 			this(phase, "");
--- a/fleet/src/main/java/org/almondmount/fleet/ThreadLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/SingleThreadEventLoop.java
@@ -12,13 +12,13 @@
  * A loop on a thread of its own. Thread-safe: whatever arrives elsewhere is handed over
  * through a bounded ring.
  */
-public final class ThreadLoop implements Loop {
+public final class SingleThreadEventLoop implements EventLoop {
 
-	private static final EventLog LOG = EventLog.of(ThreadLoop.class);
+	private static final EventLog LOG = EventLog.of(SingleThreadEventLoop.class);
 
-	private static final int RING = 1 << 14;
+	private static final int RING_CAPACITY = 1 << 14;
 
-	private final Duty<Runnable> duty = new Duty<>("decisions", RING, Runnable::run,
+	private final Duty<Runnable> duty = new Duty<>("decisions", RING_CAPACITY, Runnable::run,
 			(fault) -> LOG.fault("decision-fault", fault));
 
 	private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor((work) -> {
@@ -43,8 +43,8 @@
 	}
 
 	@Override
-	public boolean run(Runnable work) {
-		if (this.duty.offer(work)) {
+	public boolean execute(Runnable task) {
+		if (this.duty.offer(task)) {
 			return true;
 		}
 		LOG.warn("ring-full", "waiting", this.duty.waiting());
@@ -52,14 +52,14 @@
 	}
 
 	@Override
-	public void every(long everyMillis, Runnable work) {
-		this.timer.scheduleWithFixedDelay(() -> run(work), everyMillis, everyMillis, TimeUnit.MILLISECONDS);
+	public void scheduleRepeatedly(long intervalMillis, Runnable task) {
+		this.timer.scheduleWithFixedDelay(() -> execute(task), intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
 	}
 
 	@Override
-	public void after(long delayMillis, Runnable work) {
+	public void schedule(long delayMillis, Runnable task) {
 		try {
-			this.timer.schedule(() -> run(work), delayMillis, TimeUnit.MILLISECONDS);
+			this.timer.schedule(() -> execute(task), delayMillis, TimeUnit.MILLISECONDS);
 		}
 		catch (RejectedExecutionException ex) {
 			LOG.info("alarm-dropped", "why", "the process is shutting down");
--- a/fleet/src/main/java/org/almondmount/fleet/Submission.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Submission.java
@@ -16,18 +16,18 @@
 	/**
 	 * It was not kept and never will be.
 	 *
-	 * @param why the reason
-	 * @param comeBackAfter when its caller may come back
+	 * @param reason the reason
+	 * @param retryAfter when its caller may come back
 	 */
-	record Refused(IntakeRefusal why, Duration comeBackAfter) implements Submission {
+	record Refused(IntakeRefusal reason, Duration retryAfter) implements Submission {
 	}
 
 	/**
 	 * Nobody can tell yet; handing the same job in again settles it.
 	 *
-	 * @param comeBackAfter when its caller may come back
+	 * @param retryAfter when its caller may come back
 	 */
-	record Unsettled(Duration comeBackAfter) implements Submission {
+	record Unsettled(Duration retryAfter) implements Submission {
 	}
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/Tables.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Tables.java
@@ -19,19 +19,19 @@
 	/** The row that says who holds the term. */
 	public static final Place TERM = new Place("term", "holder");
 
-	private static final String JOB = "job/";
+	private static final String JOB_KEY_PREFIX = "job/";
 
-	private static final String CANCEL = "cancel/";
+	private static final String CANCEL_KEY_PREFIX = "cancel/";
 
 	private Tables() {
 	}
 
 	public static Place job(String id) {
-		return new Place(INTAKE, JOB + id);
+		return new Place(INTAKE, JOB_KEY_PREFIX + id);
 	}
 
 	public static Place cancel(String id) {
-		return new Place(INTAKE, CANCEL + id);
+		return new Place(INTAKE, CANCEL_KEY_PREFIX + id);
 	}
 
 	public static Place progress(String id) {
@@ -43,8 +43,8 @@
 	 * @param place the row
 	 * @return whether it is; else it is a cancel
 	 */
-	public static boolean isJob(Place place) {
-		return place.key().startsWith(JOB);
+	public static boolean isJobRow(Place place) {
+		return place.key().startsWith(JOB_KEY_PREFIX);
 	}
 
 	/**
@@ -52,7 +52,7 @@
 	 * @param place the row
 	 * @return the job's identifier
 	 */
-	public static String jobOf(Place place) {
+	public static String jobId(Place place) {
 		return place.key().substring(place.key().indexOf('/') + 1);
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/WorkerCalls.java
+++ b/fleet/src/main/java/org/almondmount/fleet/WorkerCalls.java
@@ -13,10 +13,10 @@
 
 	/**
 	 * Looks at the worker and renews its lease.
-	 * @param look what to ask
+	 * @param poll what to ask
 	 * @return {@link WorkerEvent.Looked} or {@link WorkerEvent.LookFailed}
 	 */
-	CompletableFuture<WorkerEvent> look(WorkerCommand.Look look);
+	CompletableFuture<WorkerEvent> poll(WorkerCommand.Look poll);
 
 	/**
 	 * Has a run begin.
--- a/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
+++ b/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
@@ -62,7 +62,7 @@
 			schedule.put("times", job.schedule().repetitions());
 		}
 		ArrayNode steps = out.putArray("steps");
-		job.steps().forEach((step) -> steps.add(step(step)));
+		job.steps().forEach((step) -> steps.add(writeStep(step)));
 		return out.toString();
 	}
 
@@ -74,11 +74,12 @@
 	 */
 	public static Workflow readWorkflow(String text) {
 		JsonNode in = parse("job", text);
-		JsonNode times = in.path("schedule");
-		Workflow.Schedule schedule = times.isMissingNode() ? Workflow.Schedule.ONCE : new Workflow.Schedule(
-				times.path("first").asLong(), times.path("interval").asLong(), times.path("times").asInt());
+		JsonNode scheduleNode = in.path("schedule");
+		Workflow.Schedule schedule = scheduleNode.isMissingNode() ? Workflow.Schedule.ONCE
+				: new Workflow.Schedule(scheduleNode.path("first").asLong(), scheduleNode.path("interval").asLong(),
+						scheduleNode.path("times").asInt());
 		return new Workflow(in.path("id").asText(), in.path("queue").asText(), in.path("customer").asText(),
-				in.path("program").asText(), list(in.path("steps"), RecordCodec::readStep), schedule,
+				in.path("program").asText(), readList(in.path("steps"), RecordCodec::readStep), schedule,
 				in.path("acceptedAt").asLong());
 	}
 
@@ -88,7 +89,7 @@
 		ArrayNode done = out.putArray("done");
 		job.doneSteps().forEach((key) -> done.addArray().add(key.occurrence()).add(key.step()));
 		ArrayNode tasks = out.putArray("tasks");
-		job.tasks().forEach((task) -> tasks.add(task(task)));
+		job.tasks().forEach((task) -> tasks.add(writeTask(task)));
 		return out.toString();
 	}
 
@@ -101,11 +102,11 @@
 	public static JobRecord readProgress(String text) {
 		JsonNode in = parse("progress", text);
 		return new JobRecord(in.path("job").asText(), JobPhase.valueOf(in.path("phase").asText()),
-				list(in.path("done"), (key) -> new StepKey(key.path(0).asInt(), key.path(1).asInt())),
-				list(in.path("tasks"), RecordCodec::readTask));
+				readList(in.path("done"), (key) -> new StepKey(key.path(0).asInt(), key.path(1).asInt())),
+				readList(in.path("tasks"), RecordCodec::readTask));
 	}
 
-	private static ObjectNode step(Step step) {
+	private static ObjectNode writeStep(Step step) {
 		ObjectNode out = JSON.createObjectNode();
 		out.put("count", step.taskCount());
 		out.putArray("demand")
@@ -113,23 +114,23 @@
 			.add(step.demand().memoryMb())
 			.add(step.demand().accelerators());
 		out.put("estimate", step.estimateMillis());
-		ArrayNode after = out.putArray("after");
-		step.dependencies().forEach(after::add);
+		ArrayNode dependencies = out.putArray("after");
+		step.dependencies().forEach(dependencies::add);
 		putTrue(out, "checkpoints", step.savesCheckpoints());
 		putTrue(out, "gang", step.gangScheduled());
 		putTrue(out, "duplicates", step.duplicatesAllowed());
 		Step.Placement placement = step.placement();
 		if (!placement.equals(Step.Placement.ANYWHERE)) {
-			ObjectNode where = out.putObject("placement");
-			where.put("label", placement.requiredLabel()).put("dataRack", placement.dataRack());
-			where.put("sameRack", placement.sameRack()).put("mostPerWorker", placement.maxPerWorker());
+			ObjectNode placementNode = out.putObject("placement");
+			placementNode.put("label", placement.requiredLabel()).put("dataRack", placement.dataRack());
+			placementNode.put("sameRack", placement.sameRack()).put("mostPerWorker", placement.maxPerWorker());
 		}
 		Step.ServiceSpec service = step.service();
 		if (!service.equals(Step.ServiceSpec.NONE)) {
-			ObjectNode terms = out.putObject("service");
-			terms.put("lasting", service.longRunning()).put("image", service.image());
-			terms.put("latencyTarget", service.latencyTargetMillis()).put("fillsIdle", service.idleCpuOnly());
-			terms.put("mayMiss", service.maxUnavailable());
+			ObjectNode serviceNode = out.putObject("service");
+			serviceNode.put("lasting", service.longRunning()).put("image", service.image());
+			serviceNode.put("latencyTarget", service.latencyTargetMillis()).put("fillsIdle", service.idleCpuOnly());
+			serviceNode.put("mayMiss", service.maxUnavailable());
 		}
 		return out;
 	}
@@ -138,21 +139,21 @@
 		JsonNode demand = in.path("demand");
 		ResourceAmount amount = new ResourceAmount(demand.path(0).asLong(), demand.path(1).asLong(),
 				demand.path(2).asLong());
-		JsonNode where = in.path("placement");
-		Step.Placement placement = where.isMissingNode() ? Step.Placement.ANYWHERE
-				: new Step.Placement(where.path("label").asText(), where.path("dataRack").asText(),
-						where.path("sameRack").asBoolean(), where.path("mostPerWorker").asInt());
-		JsonNode terms = in.path("service");
-		Step.ServiceSpec service = terms.isMissingNode() ? Step.ServiceSpec.NONE
-				: new Step.ServiceSpec(terms.path("lasting").asBoolean(), terms.path("image").asText(),
-						terms.path("latencyTarget").asLong(), terms.path("fillsIdle").asBoolean(),
-						terms.path("mayMiss").asInt());
+		JsonNode placementNode = in.path("placement");
+		Step.Placement placement = placementNode.isMissingNode() ? Step.Placement.ANYWHERE
+				: new Step.Placement(placementNode.path("label").asText(), placementNode.path("dataRack").asText(),
+						placementNode.path("sameRack").asBoolean(), placementNode.path("mostPerWorker").asInt());
+		JsonNode serviceNode = in.path("service");
+		Step.ServiceSpec service = serviceNode.isMissingNode() ? Step.ServiceSpec.NONE
+				: new Step.ServiceSpec(serviceNode.path("lasting").asBoolean(), serviceNode.path("image").asText(),
+						serviceNode.path("latencyTarget").asLong(), serviceNode.path("fillsIdle").asBoolean(),
+						serviceNode.path("mayMiss").asInt());
 		return new Step(in.path("count").asInt(), amount, in.path("estimate").asLong(),
-				list(in.path("after"), JsonNode::asInt), in.path("checkpoints").asBoolean(),
+				readList(in.path("after"), JsonNode::asInt), in.path("checkpoints").asBoolean(),
 				in.path("gang").asBoolean(), placement, in.path("duplicates").asBoolean(), service);
 	}
 
-	private static ArrayNode task(TaskRecord task) {
+	private static ArrayNode writeTask(TaskRecord task) {
 		ArrayNode out = JSON.createArrayNode();
 		out.add(task.step().occurrence()).add(task.step().step()).add(task.index());
 		out.add(task.lastRun()).add(task.failures()).add(task.done() ? 1 : 0).add(task.checkpoint());
@@ -169,12 +170,12 @@
 			out.add(task.lastFailedRun());
 		}
 		if (!task.crashes().isEmpty()) {
-			crashes(out.addArray(), task.crashes());
+			writeCrashes(out.addArray(), task.crashes());
 		}
 		return out;
 	}
 
-	private static void crashes(ArrayNode out, List<Crash> crashes) {
+	private static void writeCrashes(ArrayNode out, List<Crash> crashes) {
 		for (Crash crash : crashes) {
 			out.addArray()
 				.add(crash.run())
@@ -187,15 +188,16 @@
 	}
 
 	private static Crash readCrash(JsonNode in) {
-		WorkerIncarnation life = new WorkerIncarnation(in.path(1).asText(), in.path(2).asLong());
-		return new Crash(in.path(0).asInt(), life, in.path(3).asInt() == 1, in.path(4).asLong(), in.path(5).asInt());
+		WorkerIncarnation incarnation = new WorkerIncarnation(in.path(1).asText(), in.path(2).asLong());
+		return new Crash(in.path(0).asInt(), incarnation, in.path(3).asInt() == 1, in.path(4).asLong(),
+				in.path(5).asInt());
 	}
 
 	private static TaskRecord readTask(JsonNode in) {
 		StepKey step = new StepKey(in.path(0).asInt(), in.path(1).asInt());
 		return new TaskRecord(step, in.path(2).asInt(), in.path(3).asInt(), in.path(4).asInt(), in.path(5).asInt() == 1,
-				in.path(6).asText(), list(in.path(7), RecordCodec::readRun), in.path(8).asInt(),
-				list(in.path(9), RecordCodec::readCrash));
+				in.path(6).asText(), readList(in.path(7), RecordCodec::readRun), in.path(8).asInt(),
+				readList(in.path(9), RecordCodec::readCrash));
 	}
 
 	private static OpenRun readRun(JsonNode in) {
@@ -209,18 +211,18 @@
 		}
 	}
 
-	private static <T> List<T> list(JsonNode array, Function<JsonNode, T> element) {
+	private static <T> List<T> readList(JsonNode array, Function<JsonNode, T> element) {
 		List<T> values = new ArrayList<>(array.size());
 		array.forEach((node) -> values.add(element.apply(node)));
 		return values;
 	}
 
-	private static JsonNode parse(String what, String text) {
+	private static JsonNode parse(String kind, String text) {
 		try {
 			return JSON.readTree(text);
 		}
 		catch (JsonProcessingException ex) {
-			throw new InvalidValueException(what, "is no JSON; see who else writes to the store");
+			throw new InvalidValueException(kind, "is no JSON; see who else writes to the store");
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/DeclaredState.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 import org.almondmount.fleet.DeclarationReader;
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.model.InvalidValueException;
 import org.almondmount.rows.RowStore;
 import org.almondmount.rows.RowStore.Place;
@@ -26,9 +26,9 @@
  * A row is only replaced by a newer version of it, so nothing that was in force goes back
  * whichever way a change arrives.
  */
-final class DeclaredState {
+final class ConfigurationWatcher {
 
-	private static final EventLog LOG = EventLog.of(DeclaredState.class);
+	private static final EventLog LOG = EventLog.of(ConfigurationWatcher.class);
 
 	/**
 	 * How long one question for changes stays open; each one is paid for. A connection
@@ -36,24 +36,24 @@
 	 * With the second that a store has beyond this time, that is found out in 2.5 s,
 	 * before changes have to be in force again.
 	 */
-	private static final Duration WAIT = Duration.ofMillis(1_500);
+	private static final Duration FEED_WAIT = Duration.ofMillis(1_500);
 
-	private static final long RETRY_MILLIS = 250;
+	private static final long RETRY_DELAY_MILLIS = 250;
 
-	private static final int PAGE = 500;
+	private static final int PAGE_SIZE = 500;
 
 	/** A page of rows is larger than other answers. */
-	private static final Duration PAGE_TIMEOUT = Duration.ofMillis(1_000);
+	private static final Duration PAGE_READ_TIMEOUT = Duration.ofMillis(1_000);
 
 	private final RowStore store;
 
 	private final DeclarationReader reader;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
-	private final Consumer<DeclaredState> listener;
+	private final Consumer<ConfigurationWatcher> listener;
 
-	private final Runnable regained;
+	private final Runnable onReachable;
 
 	private final Map<String, Row> rows = new HashMap<>();
 
@@ -63,7 +63,7 @@
 
 	private long version;
 
-	private long changedAt;
+	private long changedAtMillis;
 
 	private boolean reachable = true;
 
@@ -73,11 +73,11 @@
 	 * @param reader reads what they declare
 	 * @param loop the thread
 	 * @param listener hears of each change
-	 * @param regained called when the store answers again
+	 * @param onReachable called when the store answers again
 	 */
-	DeclaredState(RowStore store, DeclarationReader reader, Loop loop, Consumer<DeclaredState> listener,
-			Runnable regained) {
-		this.regained = regained;
+	ConfigurationWatcher(RowStore store, DeclarationReader reader, EventLoop loop,
+			Consumer<ConfigurationWatcher> listener, Runnable onReachable) {
+		this.onReachable = onReachable;
 		this.store = store;
 		this.reader = reader;
 		this.loop = loop;
@@ -105,74 +105,74 @@
 	}
 
 	long changedAtMillis() {
-		return this.changedAt;
+		return this.changedAtMillis;
 	}
 
-	List<Row> newerThan(long known) {
-		return this.rows.values().stream().filter((row) -> row.version() > known).toList();
+	List<Row> rowsNewerThan(long knownVersion) {
+		return this.rows.values().stream().filter((row) -> row.version() > knownVersion).toList();
 	}
 
 	/**
 	 * Takes rows that a peer knows.
-	 * @param told the rows
+	 * @param received the rows
 	 */
-	void told(List<Row> told) {
-		take(told, "peer");
+	void addFromPeer(List<Row> received) {
+		apply(received, "peer");
 	}
 
-	private void readAll(String from, List<Row> found, long oldest) {
-		this.loop.then(this.store.read(this.reader.table(), from, PAGE, PAGE_TIMEOUT), (read) -> {
+	private void readAll(String from, List<Row> found, long oldestVersion) {
+		this.loop.onCompletion(this.store.read(this.reader.table(), from, PAGE_SIZE, PAGE_READ_TIMEOUT), (read) -> {
 			if (!(read instanceof RowStore.Read.Found page)) {
-				unreachable(read.toString());
-				this.loop.after(RETRY_MILLIS, this::start);
+				markUnreachable(read.toString());
+				this.loop.schedule(RETRY_DELAY_MILLIS, this::start);
 				return;
 			}
-			reachable();
+			markReachable();
 			found.addAll(page.rows());
-			long since = Math.min(oldest, page.version());
+			long sinceVersion = Math.min(oldestVersion, page.version());
 			if (page.more() && !page.rows().isEmpty()) {
-				readAll(page.rows().get(page.rows().size() - 1).place().key() + "\0", found, since);
+				readAll(page.rows().get(page.rows().size() - 1).place().key() + "\0", found, sinceVersion);
 				return;
 			}
-			dropMissing(found, since);
-			take(found, "read");
-			follow(since);
+			removeMissing(found, sinceVersion);
+			apply(found, "read");
+			watchChanges(sinceVersion);
 		});
 	}
 
 	// What was deleted while nobody listened is not in the read. A row that is newer than
 	// the read came from a peer and stays.
-	private void dropMissing(List<Row> found, long since) {
-		Set<String> there = new HashSet<>();
-		found.forEach((row) -> there.add(row.place().key()));
-		List<Row> gone = new ArrayList<>();
+	private void removeMissing(List<Row> found, long sinceVersion) {
+		Set<String> presentKeys = new HashSet<>();
+		found.forEach((row) -> presentKeys.add(row.place().key()));
+		List<Row> removed = new ArrayList<>();
 		for (Row known : this.rows.values()) {
-			if (known.version() <= since && !there.contains(known.place().key())) {
-				gone.add(new Row(known.place(), since, Optional.empty()));
+			if (known.version() <= sinceVersion && !presentKeys.contains(known.place().key())) {
+				removed.add(new Row(known.place(), sinceVersion, Optional.empty()));
 			}
 		}
-		take(gone, "read");
+		apply(removed, "read");
 	}
 
-	private void follow(long after) {
-		this.loop.then(this.store.changes(this.reader.table(), after, WAIT), (changes) -> {
+	private void watchChanges(long afterVersion) {
+		this.loop.onCompletion(this.store.changes(this.reader.table(), afterVersion, FEED_WAIT), (changes) -> {
 			if (changes instanceof RowStore.Changes.Found found) {
-				reachable();
-				take(found.rows(), "feed");
-				follow(Math.max(after, found.version()));
+				markReachable();
+				apply(found.rows(), "feed");
+				watchChanges(Math.max(afterVersion, found.version()));
 			}
 			else if (changes instanceof RowStore.Changes.Forgotten) {
-				LOG.info("feed-forgotten", "after", after);
+				LOG.info("feed-forgotten", "after", afterVersion);
 				start();
 			}
 			else {
-				unreachable(changes.toString());
-				this.loop.after(RETRY_MILLIS, () -> follow(after));
+				markUnreachable(changes.toString());
+				this.loop.schedule(RETRY_DELAY_MILLIS, () -> watchChanges(afterVersion));
 			}
 		});
 	}
 
-	private void take(List<Row> changes, String how) {
+	private void apply(List<Row> changes, String source) {
 		boolean changed = false;
 		for (Row row : changes) {
 			Row known = this.rows.get(row.place().key());
@@ -181,11 +181,11 @@
 				this.version = Math.max(this.version, row.version());
 				changed = true;
 				LOG.info("declared", "key", row.place().key(), "version", row.version(), "present",
-						row.value().isPresent(), "through", how);
+						row.value().isPresent(), "through", source);
 			}
 		}
 		if (changed) {
-			this.changedAt = this.loop.steadyMillis();
+			this.changedAtMillis = this.loop.steadyMillis();
 			interpret();
 		}
 	}
@@ -207,18 +207,18 @@
 		this.listener.accept(this);
 	}
 
-	private void unreachable(String why) {
+	private void markUnreachable(String reason) {
 		if (this.reachable) {
 			this.reachable = false;
-			LOG.warn("dependency-lost", "what", "store-feed", "why", why);
+			LOG.warn("dependency-lost", "what", "store-feed", "why", reason);
 		}
 	}
 
-	private void reachable() {
+	private void markReachable() {
 		if (!this.reachable) {
 			this.reachable = true;
 			LOG.info("dependency-regained", "what", "store-feed");
-			this.regained.run();
+			this.onReachable.run();
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/EntryCalls.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/EntryCalls.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.wire.Message;
 
 /**
@@ -19,7 +19,7 @@
 	static final String SUBMIT = "submit";
 
 	/** Tells the holder of a cancel that is kept beside its job. */
-	static final String CANCEL_KEPT = "cancel-kept";
+	static final String CANCEL_PERSISTED = "cancel-kept";
 
 	/** Asks the holder where a job stands. */
 	static final String PHASE = "phase";
@@ -31,7 +31,7 @@
 	static final String WAITING = "waiting";
 
 	/** Header of the answer to {@link #PHASE}: why the job was given up. */
-	static final String WHY = "why";
+	static final String REASON_HEADER = "why";
 
 	static final int OK = 200;
 
@@ -42,21 +42,21 @@
 	static final int UNSETTLED = 504;
 
 	/** Time for the holder to answer from memory before the store is asked. */
-	static final long HOLDER_MILLIS = 500;
+	static final long HOLDER_TIMEOUT_MILLIS = 500;
 
 	/** Pause before a notification that no holder took is sent again, in milliseconds. */
-	private static final long NOTIFY_RETRY_MILLIS = 200;
+	private static final long NOTIFY_RETRY_DELAY_MILLIS = 200;
 
 	/** After so many tries the holder has read the store itself. */
-	private static final int MOST_NOTIFICATIONS = 10;
+	private static final int MAX_NOTIFICATION_ATTEMPTS = 10;
 
 	private final TermDriver term;
 
 	private final PeerLinks peers;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
-	EntryCalls(TermDriver term, PeerLinks peers, Loop loop) {
+	EntryCalls(TermDriver term, PeerLinks peers, EventLoop loop) {
 		this.term = term;
 		this.peers = peers;
 		this.loop = loop;
@@ -70,14 +70,14 @@
 	 * @param body more of it
 	 */
 	void notifyHolder(String method, String job, byte[] body) {
-		notifyHolder(method, job, body, MOST_NOTIFICATIONS);
+		notifyHolder(method, job, body, MAX_NOTIFICATION_ATTEMPTS);
 	}
 
-	private void notifyHolder(String method, String job, byte[] body, int tries) {
-		this.loop.then(askHolder(method, job, body, HOLDER_MILLIS), (answer) -> {
+	private void notifyHolder(String method, String job, byte[] body, int attemptsLeft) {
+		this.loop.onCompletion(callHolder(method, job, body, HOLDER_TIMEOUT_MILLIS), (answer) -> {
 			boolean acknowledged = answer.isPresent() && answer.get().status() == OK;
-			if (!acknowledged && tries > 1) {
-				this.loop.after(NOTIFY_RETRY_MILLIS, () -> notifyHolder(method, job, body, tries - 1));
+			if (!acknowledged && attemptsLeft > 1) {
+				this.loop.schedule(NOTIFY_RETRY_DELAY_MILLIS, () -> notifyHolder(method, job, body, attemptsLeft - 1));
 			}
 		});
 	}
@@ -87,13 +87,13 @@
 	 * @param method what is asked
 	 * @param subject what it is about
 	 * @param body more of it
-	 * @param withinMillis how long an answer is waited for
+	 * @param timeoutMillis how long an answer is waited for
 	 * @return the answer, or empty where there was none in time
 	 */
-	CompletableFuture<Optional<Message.ForwardAnswer>> askHolder(String method, String subject, byte[] body,
-			long withinMillis) {
+	CompletableFuture<Optional<Message.ForwardAnswer>> callHolder(String method, String subject, byte[] body,
+			long timeoutMillis) {
 		return this.term.holder()
-			.map((row) -> this.peers.call(row.address(), method, subject, body, withinMillis))
+			.map((row) -> this.peers.call(row.address(), method, subject, body, timeoutMillis))
 			.orElseGet(() -> CompletableFuture.completedFuture(Optional.empty()));
 	}
 
--- /dev/null
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/EntryRegistration.java
@@ -0,0 +1,77 @@
+package org.almondmount.fleet.entry;
+
+import java.util.List;
+import java.util.Optional;
+
+import org.almondmount.fleet.AdaptiveStoreTimeout;
+import org.almondmount.fleet.EventLoop;
+import org.almondmount.fleet.FleetSettings;
+import org.almondmount.fleet.Tables;
+import org.almondmount.rows.RowStore;
+import org.almondmount.rows.RowStore.Write;
+
+/**
+ * Makes this entry known in the store and learns of the others from there. Belongs to the
+ * loop's thread.
+ */
+final class EntryRegistration {
+
+	private static final long RETRY_DELAY_MILLIS = 300;
+
+	/** How often an entry that is alone, or nearly so, looks for others. */
+	private static final long DISCOVERY_INTERVAL_MILLIS = 2_500;
+
+	private static final int MAX_ENTRIES = 500;
+
+	private final FleetSettings settings;
+
+	private final RowStore store;
+
+	private final EventLoop loop;
+
+	private final AdaptiveStoreTimeout storeTimeout;
+
+	private final PeerLinks peers;
+
+	EntryRegistration(FleetSettings settings, RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout,
+			PeerLinks peers) {
+		this.settings = settings;
+		this.store = store;
+		this.loop = loop;
+		this.storeTimeout = storeTimeout;
+		this.peers = peers;
+	}
+
+	void start() {
+		register();
+		this.loop.scheduleRepeatedly(DISCOVERY_INTERVAL_MILLIS, this::discoverWhenAlone);
+	}
+
+	private void register() {
+		Write row = new Write(new RowStore.Place(Tables.ENTRIES, this.settings.name()),
+				Optional.of(this.settings.peerAddress()));
+		this.loop.onCompletion(this.store.commit(List.of(), List.of(row), this.storeTimeout.timeout()), (outcome) -> {
+			if (outcome instanceof RowStore.Commit.Committed) {
+				discoverEntries();
+				return;
+			}
+			this.loop.schedule(RETRY_DELAY_MILLIS, this::register);
+		});
+	}
+
+	private void discoverWhenAlone() {
+		if (this.peers.connectedAddresses().size() <= 1) {
+			discoverEntries();
+		}
+	}
+
+	private void discoverEntries() {
+		this.loop.onCompletion(this.store.read(Tables.ENTRIES, "", MAX_ENTRIES, this.storeTimeout.timeout()),
+				(read) -> {
+					if (read instanceof RowStore.Read.Found found) {
+						found.rows().forEach((row) -> row.value().ifPresent(this.peers::addAddress));
+					}
+				});
+	}
+
+}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
+import org.almondmount.fleet.AdaptiveStoreTimeout;
 import org.almondmount.fleet.Addresses;
 import org.almondmount.fleet.DeclarationReader;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.FleetSettings;
 import org.almondmount.fleet.JobAnswer;
-import org.almondmount.fleet.Loop;
-import org.almondmount.fleet.StorePatience;
 import org.almondmount.fleet.Submission;
 import org.almondmount.intake.IntakePolicy;
 import org.almondmount.intake.IntakeRefusal;
@@ -46,10 +46,10 @@
 
 	private static final EventLog LOG = EventLog.of(FleetEntry.class);
 
-	private static final long HOLDER_WORD_MILLIS = 300;
+	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
 	/** Entries that do not hold the term speak at every third turn. */
-	private static final int QUIET_TURNS = 3;
+	private static final int TICKS_PER_NON_HOLDER_HEARTBEAT = 3;
 
 	private final FleetSettings settings;
 
@@ -57,44 +57,44 @@
 
 	private final WireEndpoint wire;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
-	private final StorePatience patience = new StorePatience();
+	private final AdaptiveStoreTimeout storeTimeout = new AdaptiveStoreTimeout();
 
 	private final PeerInfo self;
 
 	private final PeerLinks peers;
 
-	private final StoreNews storeNews;
+	private final StoreGossip storeGossip;
 
 	private final TargetLinks targets;
 
 	private final TermDriver term;
 
-	private final HolderDesk holder;
+	private final SchedulerDriver schedulerDriver;
 
 	private final JobIntake intake;
 
-	private final FrontDesk desk;
+	private final JobRequestHandler requestHandler;
 
-	private final DeclaredState declared;
+	private final ConfigurationWatcher configurationWatcher;
 
-	private final DeclaredNews news;
+	private final ConfigurationGossip configurationGossip;
 
 	private final StoreProbe probe;
 
-	private final EntryRegister register;
+	private final EntryRegistration registration;
 
 	private final CompletableFuture<Void> released = new CompletableFuture<>();
 
 	/** Calls that wait for the first configuration. */
-	private final Set<CompletableFuture<Boolean>> awaiting = new LinkedHashSet<>();
+	private final Set<CompletableFuture<Boolean>> configurationWaiters = new LinkedHashSet<>();
 
 	private volatile FleetConfiguration configuration = FleetConfiguration.NONE;
 
 	private volatile WireEndpoint.Listening listening;
 
-	private int turn;
+	private int tickCount;
 
 	/**
 	 * Makes an entry that does nothing before {@link #start()}.
@@ -105,38 +105,42 @@
 	 * @param loop where it decides
 	 * @param telemetry the process's metrics
 	 */
-	public FleetEntry(FleetSettings settings, RowStore store, DeclarationReader reader, WireEndpoint wire, Loop loop,
-			Telemetry telemetry) {
+	public FleetEntry(FleetSettings settings, RowStore store, DeclarationReader reader, WireEndpoint wire,
+			EventLoop loop, Telemetry telemetry) {
 		this.loop = loop;
 		this.settings = settings;
 		this.store = store;
 		this.wire = wire;
-		String run = settings.name() + "-" + Long.toString(loop.wallMillis(), Character.MAX_RADIX);
-		this.self = new PeerInfo(PeerInfo.Role.ENTRY, run, settings.peerAddress(), settings.zone(), Optional.empty(), 0,
-				loop.wallMillis());
+		String incarnationName = settings.name() + "-" + Long.toString(loop.wallMillis(), Character.MAX_RADIX);
+		this.self = new PeerInfo(PeerInfo.Role.ENTRY, incarnationName, settings.peerAddress(), settings.zone(),
+				Optional.empty(), 0, loop.wallMillis());
 		this.peers = new PeerLinks(settings.peerAddress(), this.loop, this::dial);
 		this.targets = new TargetLinks(this.peers::connectedAddresses);
-		this.term = new TermDriver(new TermSettings(run, settings.peerAddress(), settings.termLength().toMillis()),
-				store, this.loop, this.patience, telemetry, this::writesOf, new TermListener());
-		this.holder = new HolderDesk(
-				new DefaultWorkflowScheduler(SchedulerPolicy.DEFAULT.withLeaseMillis(settings.lease().toMillis())
-					.withStopTimeoutMillis(settings.stop().toMillis())
-					.withEndedJobRetentionMillis(settings.status().toMillis())
-					.withCheckpointing(settings.checkpointing())
-					.withFeatures(settings.features())),
-				store, this.loop, telemetry, this.term, this.targets, settings.lease().toMillis());
-		this.storeNews = new StoreNews(this.peers, this.patience, this.loop, this::askStore);
+		this.term = new TermDriver(
+				new TermSettings(incarnationName, settings.peerAddress(), settings.termLength().toMillis()), store,
+				this.loop, this.storeTimeout, telemetry, this::writesFor, new TermListener());
+		this.schedulerDriver = new SchedulerDriver(
+				new DefaultWorkflowScheduler(
+						SchedulerPolicy.DEFAULT.withLeaseMillis(settings.leaseDuration().toMillis())
+							.withStopTimeoutMillis(settings.stopTimeout().toMillis())
+							.withEndedJobRetentionMillis(settings.endedJobRetention().toMillis())
+							.withCheckpointing(settings.checkpointing())
+							.withFeatures(settings.features())),
+				store, this.loop, telemetry, this.term, this.targets, settings.leaseDuration().toMillis());
+		this.storeGossip = new StoreGossip(this.peers, this.storeTimeout, this.loop, this::probeStore);
 		EntryCalls calls = new EntryCalls(this.term, this.peers, this.loop);
-		this.intake = new JobIntake(store, this.loop, this.patience, telemetry, this.holder, this.peers, this.storeNews,
-				calls, this::priorityOf);
-		this.desk = new FrontDesk(store, this.loop, this.patience, this.holder, calls, this.intake);
-		this.probe = new StoreProbe(store, this.loop, this.patience, this.intake::anyWaiting);
-		this.declared = new DeclaredState(store, reader, this.loop, this::inForce, this.probe::ask);
-		this.news = new DeclaredNews(this.declared, this.loop);
-		this.register = new EntryRegister(settings, store, this.loop, this.patience, this.peers);
-		this.probe.whenAnswering(this.term::storeAnswers);
-		this.probe.whenAnswering(this.intake::storeAnswers);
-		this.probe.whenAnswering(this.storeNews::answersHere);
+		this.intake = new JobIntake(store, this.loop, this.storeTimeout, telemetry, this.schedulerDriver, this.peers,
+				this.storeGossip, calls, this::queuePriority);
+		this.requestHandler = new JobRequestHandler(store, this.loop, this.storeTimeout, this.schedulerDriver, calls,
+				this.intake);
+		this.probe = new StoreProbe(store, this.loop, this.storeTimeout, this.intake::hasWaitingJobs);
+		this.configurationWatcher = new ConfigurationWatcher(store, reader, this.loop, this::onConfigurationChanged,
+				this.probe::probe);
+		this.configurationGossip = new ConfigurationGossip(this.configurationWatcher, this.loop);
+		this.registration = new EntryRegistration(settings, store, this.loop, this.storeTimeout, this.peers);
+		this.probe.addListener(this.term::onStoreAnswering);
+		this.probe.addListener(this.intake::onStoreAnswering);
+		this.probe.addListener(this.storeGossip::onStoreAnswering);
 		telemetry.gauge("term.epoch", this.term::epoch);
 	}
 
@@ -146,12 +150,13 @@
 	 */
 	public CompletableFuture<Void> start() {
 		this.loop.start();
-		return this.wire.listen(this.settings.peers(), this.self, this.settings.peer(), new Listener())
+		return this.wire
+			.listen(this.settings.peerListenAddress(), this.self, this.settings.peerSettings(), new Listener())
 			.thenAccept((bound) -> {
 				this.listening = bound;
 				LOG.info("entry-started", "entry", this.self.name(), "zone", this.settings.zone(), "peers",
 						bound.address());
-				this.loop.run(this::begin);
+				this.loop.execute(this::startComponents);
 			});
 	}
 
@@ -167,14 +172,14 @@
 	 * Waits until this entry knows what operators declared: an entry that has just
 	 * started reads it within about a third of a second, and a caller that was refused
 	 * meanwhile would have lost one of its few tries.
-	 * @param patience the time that a caller gives, empty where it does not say
+	 * @param timeout the time that a caller gives, empty where it does not say
 	 * @return whether it is known
 	 */
-	public CompletableFuture<Boolean> configured(OptionalLong patience) {
+	public CompletableFuture<Boolean> awaitConfigured(OptionalLong timeout) {
 		CompletableFuture<Boolean> outcome = new CompletableFuture<>();
-		long millis = patience.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
-		boolean taken = this.loop.run(() -> awaitConfiguration(millis, outcome));
-		if (!taken) {
+		long timeoutMillis = timeout.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
+		boolean accepted = this.loop.execute(() -> addConfigurationWaiter(timeoutMillis, outcome));
+		if (!accepted) {
 			outcome.complete(false);
 		}
 		return outcome;
@@ -183,16 +188,17 @@
 	/**
 	 * Accepts a job.
 	 * @param job the job
-	 * @param patience the time that its caller gives, empty where it does not say
+	 * @param timeout the time that its caller gives, empty where it does not say
 	 * @return what became of it
 	 */
-	public CompletableFuture<Submission> submit(Workflow job, OptionalLong patience) {
+	public CompletableFuture<Submission> submit(Workflow job, OptionalLong timeout) {
 		CompletableFuture<Submission> outcome = new CompletableFuture<>();
-		long millis = patience.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
-		boolean taken = this.loop.run(() -> this.intake.submit(job, millis).thenAccept(outcome::complete));
-		if (!taken) {
+		long timeoutMillis = timeout.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
+		boolean accepted = this.loop
+			.execute(() -> this.intake.submit(job, timeoutMillis).thenAccept(outcome::complete));
+		if (!accepted) {
 			outcome.complete(new Submission.Refused(IntakeRefusal.BUSY,
-					IntakePolicy.DEFAULT.comeBackAfter(IntakeRefusal.BUSY, millis)));
+					IntakePolicy.DEFAULT.comeBackAfter(IntakeRefusal.BUSY, timeoutMillis)));
 		}
 		return outcome;
 	}
@@ -200,12 +206,12 @@
 	/**
 	 * Says where a job stands.
 	 * @param job the job
-	 * @param withinMillis after which its caller has to have an answer
+	 * @param timeoutMillis after which its caller has to have an answer
 	 * @return where it stands
 	 */
-	public CompletableFuture<JobAnswer> phase(String job, long withinMillis) {
+	public CompletableFuture<JobAnswer> phase(String job, long timeoutMillis) {
 		CompletableFuture<JobAnswer> outcome = new CompletableFuture<>();
-		if (!this.loop.run(() -> this.desk.phase(job, withinMillis).thenAccept(outcome::complete))) {
+		if (!this.loop.execute(() -> this.requestHandler.phase(job, timeoutMillis).thenAccept(outcome::complete))) {
 			outcome.complete(new JobAnswer.Unavailable());
 		}
 		return outcome;
@@ -214,12 +220,12 @@
 	/**
 	 * Cancels a job.
 	 * @param job the job
-	 * @param withinMillis after which its caller has to have an answer
+	 * @param timeoutMillis after which its caller has to have an answer
 	 * @return known where the cancel is kept
 	 */
-	public CompletableFuture<JobAnswer> cancel(String job, long withinMillis) {
+	public CompletableFuture<JobAnswer> cancel(String job, long timeoutMillis) {
 		CompletableFuture<JobAnswer> outcome = new CompletableFuture<>();
-		if (!this.loop.run(() -> this.desk.cancel(job, withinMillis).thenAccept(outcome::complete))) {
+		if (!this.loop.execute(() -> this.requestHandler.cancel(job, timeoutMillis).thenAccept(outcome::complete))) {
 			outcome.complete(new JobAnswer.Unavailable());
 		}
 		return outcome;
@@ -230,9 +236,9 @@
 	 * @param queue the queue
 	 * @return the count, or empty where the holder does not answer
 	 */
-	public CompletableFuture<OptionalInt> waiting(String queue) {
+	public CompletableFuture<OptionalInt> queuedJobCount(String queue) {
 		CompletableFuture<OptionalInt> outcome = new CompletableFuture<>();
-		if (!this.loop.run(() -> this.desk.waiting(queue).thenAccept(outcome::complete))) {
+		if (!this.loop.execute(() -> this.requestHandler.queuedJobCount(queue).thenAccept(outcome::complete))) {
 			outcome.complete(OptionalInt.empty());
 		}
 		return outcome;
@@ -243,7 +249,7 @@
 	 * @return completes when it is given up or was not held
 	 */
 	public CompletableFuture<Void> release() {
-		this.loop.run(this.term::release);
+		this.loop.execute(this.term::release);
 		return this.released;
 	}
 
@@ -255,28 +261,28 @@
 		this.loop.close();
 	}
 
-	private void begin() {
-		this.declared.start();
+	private void startComponents() {
+		this.configurationWatcher.start();
 		this.term.start();
-		this.holder.start();
+		this.schedulerDriver.start();
 		this.intake.start();
 		this.probe.start();
-		this.register.start();
-		this.loop.every(HOLDER_WORD_MILLIS, this::speak);
+		this.registration.start();
+		this.loop.scheduleRepeatedly(HEARTBEAT_INTERVAL_MILLIS, this::sendHeartbeat);
 	}
 
 	// Jobs of a queue that is not declared any more go last.
-	private int priorityOf(String queue) {
+	private int queuePriority(String queue) {
 		return this.configuration.queue(queue).map(JobQueue::priority).orElse(Integer.MAX_VALUE);
 	}
 
-	private List<Write> writesOf(long sequence) {
-		return this.holder.writesOf(sequence);
+	private List<Write> writesFor(long sequence) {
+		return this.schedulerDriver.writesFor(sequence);
 	}
 
-	private void speak() {
-		this.turn++;
-		if (this.term.epoch() != 0 || this.turn % QUIET_TURNS == 0) {
+	private void sendHeartbeat() {
+		this.tickCount++;
+		if (this.term.epoch() != 0 || this.tickCount % TICKS_PER_NON_HOLDER_HEARTBEAT == 0) {
 			this.peers.broadcast(heartbeat());
 		}
 	}
@@ -284,46 +290,47 @@
 	// A holder that waits for its term to be renewed speaks too: entries that took it for
 	// lost would hold up the commit that renews it by commits of their own.
 	private Message.EntryHeartbeat heartbeat() {
-		boolean holds = this.term.epoch() != 0;
-		return new Message.EntryHeartbeat(this.turn, this.declared.version(), holds ? this.term.epoch() : 0, holds,
-				holds ? this.term.keptCommit() : 0);
+		boolean isHolder = this.term.epoch() != 0;
+		return new Message.EntryHeartbeat(this.tickCount, this.configurationWatcher.version(),
+				isHolder ? this.term.epoch() : 0, isHolder, isHolder ? this.term.persistedCommit() : 0);
 	}
 
-	private void quit(long epoch) {
-		this.peers.broadcast(new Message.EntryHeartbeat(this.turn, this.declared.version(), epoch, false));
+	private void announceResignation(long epoch) {
+		this.peers
+			.broadcast(new Message.EntryHeartbeat(this.tickCount, this.configurationWatcher.version(), epoch, false));
 	}
 
-	private void awaitConfiguration(long patienceMillis, CompletableFuture<Boolean> outcome) {
+	private void addConfigurationWaiter(long timeoutMillis, CompletableFuture<Boolean> outcome) {
 		if (this.configuration.revision() != 0) {
 			outcome.complete(true);
 			return;
 		}
-		if (this.awaiting.size() >= IntakePolicy.DEFAULT.mostWaiting()) {
+		if (this.configurationWaiters.size() >= IntakePolicy.DEFAULT.mostWaiting()) {
 			outcome.complete(false);
 			return;
 		}
-		this.awaiting.add(outcome);
-		this.loop.after(IntakePolicy.DEFAULT.waitsUntil(0, patienceMillis, false), () -> {
-			this.awaiting.remove(outcome);
+		this.configurationWaiters.add(outcome);
+		this.loop.schedule(IntakePolicy.DEFAULT.waitsUntil(0, timeoutMillis, false), () -> {
+			this.configurationWaiters.remove(outcome);
 			outcome.complete(false);
 		});
 	}
 
-	private void inForce(DeclaredState state) {
-		this.configuration = state.configuration();
+	private void onConfigurationChanged(ConfigurationWatcher watcher) {
+		this.configuration = watcher.configuration();
 		if (this.configuration.revision() != 0) {
-			this.awaiting.forEach((outcome) -> outcome.complete(true));
-			this.awaiting.clear();
+			this.configurationWaiters.forEach((outcome) -> outcome.complete(true));
+			this.configurationWaiters.clear();
 		}
-		this.holder.declared(state.configuration(), state.zonesOut());
+		this.schedulerDriver.onConfigurationChanged(watcher.configuration(), watcher.zonesOut());
 	}
 
 	private void dial(String address) {
 		try {
-			this.wire.dial(Addresses.parse(address), this.self, this.settings.peer(), new Listener())
+			this.wire.dial(Addresses.parse(address), this.self, this.settings.peerSettings(), new Listener())
 				.whenComplete((connection, failure) -> {
 					if (failure != null) {
-						this.loop.run(() -> dialFailed(address, failure));
+						this.loop.execute(() -> onDialFailed(address, failure));
 					}
 				});
 		}
@@ -334,81 +341,81 @@
 
 	// Where nobody listens any more the process that listened there is gone, and with it
 	// the term that it held: nobody has to wait for its end.
-	private void dialFailed(String address, Throwable failure) {
+	private void onDialFailed(String address, Throwable failure) {
 		this.peers.dialFailed(address);
 		Optional<TermRow> held = this.term.holder().filter((row) -> row.address().equals(address));
 		if (held.isPresent() && failure instanceof WireException fault && fault.reason() == CloseReason.REFUSED) {
 			LOG.info("holder-gone", "address", address, "epoch", held.get().epoch());
-			this.term.holderQuit(held.get().epoch());
+			this.term.onHolderResigned(held.get().epoch());
 		}
 	}
 
-	private void opened(PeerConnection connection) {
+	private void onConnected(PeerConnection connection) {
 		LOG.info("peer-connected", "peer", connection.peer().name(), "role", connection.peer().role());
 		if (connection.peer().role() == PeerInfo.Role.TARGET) {
-			this.targets.opened(connection);
+			this.targets.onConnected(connection);
 			return;
 		}
-		this.peers.opened(connection);
-		this.storeNews.connected(connection.peer().address());
+		this.peers.onConnected(connection);
+		this.storeGossip.onConnected(connection.peer().address());
 		connection.send(heartbeat());
 	}
 
-	private void closed(PeerConnection connection, CloseReason reason) {
+	private void onDisconnected(PeerConnection connection, CloseReason reason) {
 		LOG.info("peer-lost", "peer", connection.peer().name(), "reason", reason.word());
 		if (connection.peer().role() == PeerInfo.Role.TARGET) {
-			this.targets.closed(connection);
+			this.targets.onDisconnected(connection);
 			return;
 		}
-		this.peers.closed(connection);
+		this.peers.onDisconnected(connection);
 		if (this.term.holder().map(TermRow::address).filter(connection.peer().address()::equals).isPresent()) {
-			this.term.holderLost();
-			this.peers.known(connection.peer().address());
+			this.term.onHolderLost();
+			this.peers.addAddress(connection.peer().address());
 		}
 	}
 
-	private void received(PeerConnection connection, Message message) {
+	private void onMessage(PeerConnection connection, Message message) {
 		if (connection.peer().role() == PeerInfo.Role.TARGET) {
 			if (this.targets.isCurrent(connection)) {
-				this.holder.heard(connection.peer().name(), message);
+				this.schedulerDriver.onTargetMessage(connection.peer().name(), message);
 			}
 			return;
 		}
-		if (message instanceof Message.EntryHeartbeat word) {
-			holderWord(connection.peer(), word);
-			this.news.tell(connection, word.revision());
+		if (message instanceof Message.EntryHeartbeat heartbeat) {
+			onEntryHeartbeat(connection.peer(), heartbeat);
+			this.configurationGossip.sendMissing(connection, heartbeat.revision());
 		}
 		else if (message instanceof Message.Forward call) {
-			forwarded(connection, call);
+			onForward(connection, call);
 		}
 		else if (message instanceof Message.ForwardAnswer answer) {
-			this.peers.answered(answer);
+			this.peers.onAnswer(answer);
 		}
 	}
 
 	// A word that names an epoch and does not hold it is that epoch's holder giving it
 	// up.
-	private void holderWord(PeerInfo peer, Message.EntryHeartbeat word) {
-		if (word.holder()) {
-			this.term.holderHeard(word.epoch(), word.commit(), peer.name(), peer.address());
+	private void onEntryHeartbeat(PeerInfo peer, Message.EntryHeartbeat heartbeat) {
+		if (heartbeat.holder()) {
+			this.term.onHolderAnnounced(heartbeat.epoch(), heartbeat.commit(), peer.name(), peer.address());
 		}
-		else if (word.epoch() > 0) {
-			this.term.holderQuit(word.epoch());
+		else if (heartbeat.epoch() > 0) {
+			this.term.onHolderResigned(heartbeat.epoch());
 		}
 	}
 
-	private void askStore() {
-		this.probe.ask();
+	private void probeStore() {
+		this.probe.probe();
 	}
 
-	private void forwarded(PeerConnection connection, Message.Forward call) {
-		if (this.storeNews.taken(connection.peer().address(), call)) {
+	private void onForward(PeerConnection connection, Message.Forward call) {
+		if (this.storeGossip.handle(connection.peer().address(), call)) {
 			return;
 		}
-		if (this.news.taken(call)) {
+		if (this.configurationGossip.handle(call)) {
 			return;
 		}
-		this.desk.asked(call)
+		this.requestHandler.handleCall(call)
 			.thenAccept((answer) -> connection.send(new Message.ForwardAnswer(call.id(), answer.status(),
 					answer.headers(), answer.body().getBytes(StandardCharsets.UTF_8))));
 	}
@@ -419,30 +426,30 @@
 	private final class TermListener implements TermDriver.Listener {
 
 		@Override
-		public void began(long epoch) {
-			FleetEntry.this.holder.termBegan(epoch);
+		public void onTermBegan(long epoch) {
+			FleetEntry.this.schedulerDriver.onTermBegan(epoch);
 			FleetEntry.this.peers.broadcast(heartbeat());
 		}
 
 		@Override
-		public void ended(long epoch) {
-			FleetEntry.this.holder.termEnded();
-			quit(epoch);
+		public void onTermEnded(long epoch) {
+			FleetEntry.this.schedulerDriver.onTermEnded();
+			announceResignation(epoch);
 		}
 
 		@Override
-		public void saved(long sequence) {
-			FleetEntry.this.holder.saved(sequence);
+		public void onPersisted(long sequence) {
+			FleetEntry.this.schedulerDriver.onPersisted(sequence);
 		}
 
 		@Override
-		public void holderSeen(TermRow row) {
-			FleetEntry.this.peers.known(row.address());
-			FleetEntry.this.targets.holderSeen(row);
+		public void onHolderSeen(TermRow row) {
+			FleetEntry.this.peers.addAddress(row.address());
+			FleetEntry.this.targets.onHolderSeen(row);
 		}
 
 		@Override
-		public void released() {
+		public void onReleased() {
 			FleetEntry.this.released.complete(null);
 		}
 
@@ -455,19 +462,19 @@
 
 		@Override
 		public void opened(PeerConnection connection) {
-			FleetEntry.this.loop.run(() -> FleetEntry.this.opened(connection));
+			FleetEntry.this.loop.execute(() -> FleetEntry.this.onConnected(connection));
 		}
 
 		@Override
 		public void received(PeerConnection connection, Message message) {
-			if (!FleetEntry.this.loop.run(() -> FleetEntry.this.received(connection, message))) {
+			if (!FleetEntry.this.loop.execute(() -> FleetEntry.this.onMessage(connection, message))) {
 				connection.close(CloseReason.LOCAL);
 			}
 		}
 
 		@Override
 		public void closed(PeerConnection connection, CloseReason reason) {
-			FleetEntry.this.loop.run(() -> FleetEntry.this.closed(connection, reason));
+			FleetEntry.this.loop.execute(() -> FleetEntry.this.onDisconnected(connection, reason));
 		}
 
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/IntakeAttempt.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/IntakeAttempt.java
@@ -14,51 +14,51 @@
  */
 final class IntakeAttempt {
 
-	private static final int NO_COPY = 0;
+	private static final int NO_AWAITED_COPY = 0;
 
 	/**
 	 * Entries that are asked to accept one job, so that an outage is no flood of calls.
 	 */
-	private static final int MOST_PEERS = 3;
+	private static final int MAX_PEERS = 3;
 
 	private final Workflow job;
 
-	private final String text;
+	private final String rowValue;
 
 	private final long arrivedMillis;
 
-	private final long patienceMillis;
+	private final long timeoutMillis;
 
-	private final boolean forPeer;
+	private final boolean receivedFromPeer;
 
 	private final CompletableFuture<Submission> outcome;
 
 	/** Addresses of the entries that were asked to accept it. */
-	private final Set<String> peersAsked = new HashSet<>();
+	private final Set<String> forwardedTo = new HashSet<>();
 
 	private boolean accepted;
 
-	private int copies;
+	private int copyCount;
 
-	private int copiesOut;
+	private int pendingCopyCount;
 
-	private int currentCopy = NO_COPY;
+	private int awaitedCopy = NO_AWAITED_COPY;
 
-	private long lastCopyAt;
+	private long lastCopyAtMillis;
 
 	private boolean unsettled;
 
-	private IntakeRefusal why = IntakeRefusal.STORE_SILENT;
+	private IntakeRefusal reason = IntakeRefusal.STORE_SILENT;
 
 	private String detail = "";
 
-	IntakeAttempt(Workflow job, long arrivedMillis, long patienceMillis, boolean forPeer,
+	IntakeAttempt(Workflow job, long arrivedMillis, long timeoutMillis, boolean receivedFromPeer,
 			CompletableFuture<Submission> outcome) {
 		this.job = job;
-		this.text = RecordCodec.write(job);
+		this.rowValue = RecordCodec.write(job);
 		this.arrivedMillis = arrivedMillis;
-		this.patienceMillis = patienceMillis;
-		this.forPeer = forPeer;
+		this.timeoutMillis = timeoutMillis;
+		this.receivedFromPeer = receivedFromPeer;
 		this.outcome = outcome;
 	}
 
@@ -70,28 +70,28 @@
 	 * The job as it is kept.
 	 * @return the text of its row
 	 */
-	String text() {
-		return this.text;
+	String rowValue() {
+		return this.rowValue;
 	}
 
 	long arrivedMillis() {
 		return this.arrivedMillis;
 	}
 
-	long patienceMillis() {
-		return this.patienceMillis;
+	long timeoutMillis() {
+		return this.timeoutMillis;
 	}
 
-	long leftMillis(long now) {
-		return this.arrivedMillis + this.patienceMillis - now;
+	long remainingMillis(long nowMillis) {
+		return this.arrivedMillis + this.timeoutMillis - nowMillis;
 	}
 
 	/**
 	 * Whether it came to another entry, which waits for the store itself.
 	 * @return whether it did
 	 */
-	boolean forPeer() {
-		return this.forPeer;
+	boolean receivedFromPeer() {
+		return this.receivedFromPeer;
 	}
 
 	CompletableFuture<Submission> outcome() {
@@ -104,36 +104,36 @@
 	 * @param address the entry's address
 	 * @return whether it may
 	 */
-	boolean mayAskPeer(String address) {
-		return !this.forPeer && this.peersAsked.size() < MOST_PEERS && !this.peersAsked.contains(address);
+	boolean mayForwardTo(String address) {
+		return !this.receivedFromPeer && this.forwardedTo.size() < MAX_PEERS && !this.forwardedTo.contains(address);
 	}
 
-	void peerAsked(String address) {
-		this.peersAsked.add(address);
+	void markForwardedTo(String address) {
+		this.forwardedTo.add(address);
 	}
 
 	boolean accepted() {
 		return this.accepted;
 	}
 
-	void accept() {
+	void markAccepted() {
 		this.accepted = true;
 	}
 
 	/**
 	 * Takes note of a copy of its write that leaves.
-	 * @param now the steady clock
+	 * @param nowMillis the steady clock
 	 * @return the copy's number
 	 */
-	int sendCopy(long now) {
-		this.lastCopyAt = now;
-		this.copiesOut++;
-		this.currentCopy = ++this.copies;
-		return this.currentCopy;
+	int startCopy(long nowMillis) {
+		this.lastCopyAtMillis = nowMillis;
+		this.pendingCopyCount++;
+		this.awaitedCopy = ++this.copyCount;
+		return this.awaitedCopy;
 	}
 
-	void copyEnded() {
-		this.copiesOut--;
+	void endCopy() {
+		this.pendingCopyCount--;
 	}
 
 	/**
@@ -141,20 +141,20 @@
 	 * @param copy its number
 	 * @return whether it was waited for until now
 	 */
-	boolean noLongerWaitsFor(int copy) {
-		if (this.currentCopy != copy) {
+	boolean stopAwaiting(int copy) {
+		if (this.awaitedCopy != copy) {
 			return false;
 		}
-		this.currentCopy = NO_COPY;
+		this.awaitedCopy = NO_AWAITED_COPY;
 		return true;
 	}
 
-	boolean anyCopyOut() {
-		return this.copiesOut > 0;
+	boolean hasPendingCopies() {
+		return this.pendingCopyCount > 0;
 	}
 
-	long lastCopyAt() {
-		return this.lastCopyAt;
+	long lastCopyAtMillis() {
+		return this.lastCopyAtMillis;
 	}
 
 	/**
@@ -165,21 +165,21 @@
 		return this.unsettled;
 	}
 
-	void mayBeKept() {
+	void markUnsettled() {
 		this.unsettled = true;
 	}
 
-	IntakeRefusal why() {
-		return this.unsettled ? IntakeRefusal.UNSETTLED : this.why;
+	IntakeRefusal reason() {
+		return this.unsettled ? IntakeRefusal.UNSETTLED : this.reason;
 	}
 
 	String detail() {
 		return this.detail;
 	}
 
-	void refused(IntakeRefusal reason, String said) {
-		this.why = reason;
-		this.detail = said;
+	void setRefusal(IntakeRefusal reason, String detailText) {
+		this.reason = reason;
+		this.detail = detailText;
 	}
 
 }
--- /dev/null
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
@@ -0,0 +1,314 @@
+package org.almondmount.fleet.entry;
+
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalInt;
+import java.util.concurrent.CompletableFuture;
+
+import org.almondmount.fleet.AdaptiveStoreTimeout;
+import org.almondmount.fleet.EventLoop;
+import org.almondmount.fleet.JobAnswer;
+import org.almondmount.fleet.Submission;
+import org.almondmount.fleet.Tables;
+import org.almondmount.fleet.codec.RecordCodec;
+import org.almondmount.rows.RowStore;
+import org.almondmount.rows.RowStore.Condition;
+import org.almondmount.rows.RowStore.Place;
+import org.almondmount.rows.RowStore.Row;
+import org.almondmount.rows.RowStore.Write;
+import org.almondmount.telemetry.EventLog;
+import org.almondmount.wire.Message;
+import org.almondmount.workflow.JobPhase;
+import org.almondmount.workflow.JobRecord;
+
+/**
+ * Answers what callers and other entries ask about jobs at any entry, from the holder's
+ * memory or from the store. Belongs to the loop's thread.
+ */
+final class JobRequestHandler {
+
+	private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
+
+	/** Pause before the store is asked again, in milliseconds. */
+	private static final long STORE_RETRY_DELAY_MILLIS = 60;
+
+	/** A cancel waits for a commit of the holder. */
+	private static final long CANCEL_TIMEOUT_MILLIS = 1_500;
+
+	/** A count may be this old. */
+	private static final long MAX_COUNT_AGE_MILLIS = 800;
+
+	private final RowStore store;
+
+	private final EventLoop loop;
+
+	private final AdaptiveStoreTimeout storeTimeout;
+
+	private final SchedulerDriver schedulerDriver;
+
+	private final EntryCalls calls;
+
+	private final JobIntake intake;
+
+	private final Map<String, Count> counts = new HashMap<>();
+
+	JobRequestHandler(RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout,
+			SchedulerDriver schedulerDriver, EntryCalls calls, JobIntake intake) {
+		this.store = store;
+		this.loop = loop;
+		this.storeTimeout = storeTimeout;
+		this.schedulerDriver = schedulerDriver;
+		this.calls = calls;
+		this.intake = intake;
+	}
+
+	CompletableFuture<JobAnswer> phase(String job, long timeoutMillis) {
+		CompletableFuture<JobAnswer> outcome = new CompletableFuture<>();
+		if (this.schedulerDriver.mayDecide()) {
+			Optional<JobPhase> phase = this.schedulerDriver.phase(job);
+			if (phase.isPresent()) {
+				outcome.complete(new JobAnswer.Known(phase.get(), this.schedulerDriver.failureMessage(job)));
+				return outcome;
+			}
+		}
+		long deadlineMillis = this.loop.steadyMillis() + timeoutMillis;
+		this.loop.onCompletion(
+				this.calls.callHolder(EntryCalls.PHASE, job, new byte[0], EntryCalls.HOLDER_TIMEOUT_MILLIS),
+				(answer) -> {
+					if (answer.isPresent() && answer.get().status() == EntryCalls.OK) {
+						String reason = answer.get().headers().getOrDefault(EntryCalls.REASON_HEADER, "");
+						outcome.complete(new JobAnswer.Known(JobPhase.valueOf(text(answer.get().body())), reason));
+						return;
+					}
+					readPhase(job, deadlineMillis, outcome);
+				});
+		return outcome;
+	}
+
+	CompletableFuture<JobAnswer> cancel(String job, long timeoutMillis) {
+		CompletableFuture<JobAnswer> outcome = new CompletableFuture<>();
+		long deadlineMillis = this.loop.steadyMillis() + timeoutMillis;
+		if (this.schedulerDriver.mayDecide() && this.schedulerDriver.phase(job).isPresent()) {
+			this.schedulerDriver.cancel(job, (persisted) -> onCancelEnded(job, persisted, deadlineMillis, outcome));
+			return outcome;
+		}
+		this.loop.onCompletion(this.calls.callHolder(EntryCalls.CANCEL, job, new byte[0],
+				Math.min(CANCEL_TIMEOUT_MILLIS, timeoutMillis)), (answer) -> {
+					boolean persisted = answer.isPresent() && answer.get().status() == EntryCalls.OK;
+					onCancelEnded(job, persisted, deadlineMillis, outcome);
+				});
+		return outcome;
+	}
+
+	CompletableFuture<OptionalInt> queuedJobCount(String queue) {
+		CompletableFuture<OptionalInt> outcome = new CompletableFuture<>();
+		if (this.schedulerDriver.mayDecide()) {
+			outcome.complete(OptionalInt.of(this.schedulerDriver.queuedJobCount(queue)));
+			return outcome;
+		}
+		Count known = this.counts.get(queue);
+		if (known != null && this.loop.steadyMillis() - known.atMillis() <= MAX_COUNT_AGE_MILLIS) {
+			outcome.complete(OptionalInt.of(known.count()));
+			return outcome;
+		}
+		this.loop.onCompletion(
+				this.calls.callHolder(EntryCalls.WAITING, queue, new byte[0], EntryCalls.HOLDER_TIMEOUT_MILLIS),
+				(answer) -> {
+					if (answer.isEmpty() || answer.get().status() != EntryCalls.OK) {
+						outcome.complete(OptionalInt.empty());
+						return;
+					}
+					int count = Integer.parseInt(text(answer.get().body()));
+					this.counts.put(queue, new Count(count, this.loop.steadyMillis()));
+					outcome.complete(OptionalInt.of(count));
+				});
+		return outcome;
+	}
+
+	/**
+	 * Answers a call of another entry.
+	 * @param call the call
+	 * @return the status and body of the answer
+	 */
+	CompletableFuture<Answer> handleCall(Message.Forward call) {
+		return switch (call.method()) {
+			case EntryCalls.ACCEPTED ->
+				onNotification(() -> this.schedulerDriver.onJobAccepted(RecordCodec.readWorkflow(text(call.body()))));
+			case EntryCalls.CANCEL_PERSISTED ->
+				onNotification(() -> this.schedulerDriver.onCancelPersisted(call.path()));
+			case EntryCalls.SUBMIT -> this.intake.submitForPeer(RecordCodec.readWorkflow(text(call.body())))
+				.thenApply((outcome) -> new Answer(statusOf(outcome), ""));
+			case EntryCalls.PHASE -> answerPhase(call.path());
+			case EntryCalls.CANCEL -> answerCancel(call.path());
+			case EntryCalls.WAITING -> this.schedulerDriver.mayDecide()
+					? completed(EntryCalls.OK, Integer.toString(this.schedulerDriver.queuedJobCount(call.path())))
+					: completed(EntryCalls.UNAVAILABLE, "");
+			default -> completed(EntryCalls.UNAVAILABLE, "");
+		};
+	}
+
+	// A holder that still loads may have read the store before the row was there.
+	private CompletableFuture<Answer> onNotification(Runnable notification) {
+		if (!this.schedulerDriver.mayDecide()) {
+			return completed(EntryCalls.UNAVAILABLE, "");
+		}
+		notification.run();
+		return completed(EntryCalls.OK, "");
+	}
+
+	private CompletableFuture<Answer> answerPhase(String job) {
+		if (!this.schedulerDriver.mayDecide()) {
+			return completed(EntryCalls.UNAVAILABLE, "");
+		}
+		return this.schedulerDriver.phase(job)
+			.map((phase) -> CompletableFuture.completedFuture(new Answer(EntryCalls.OK, phase.name(),
+					Map.of(EntryCalls.REASON_HEADER, this.schedulerDriver.failureMessage(job)))))
+			.orElseGet(() -> completed(EntryCalls.UNKNOWN_JOB, ""));
+	}
+
+	private CompletableFuture<Answer> answerCancel(String job) {
+		if (!this.schedulerDriver.mayDecide()) {
+			return completed(EntryCalls.UNAVAILABLE, "");
+		}
+		if (this.schedulerDriver.phase(job).isEmpty()) {
+			return completed(EntryCalls.UNKNOWN_JOB, "");
+		}
+		CompletableFuture<Answer> answer = new CompletableFuture<>();
+		this.schedulerDriver.cancel(job,
+				(persisted) -> answer.complete(new Answer(persisted ? EntryCalls.OK : EntryCalls.UNSETTLED, "")));
+		return answer;
+	}
+
+	private void readPhase(String job, long deadlineMillis, CompletableFuture<JobAnswer> outcome) {
+		Place progress = Tables.progress(job);
+		this.loop.onCompletion(this.store.read(progress.table(), progress.key(), 1, this.storeTimeout.timeout()),
+				(read) -> {
+					if (!(read instanceof RowStore.Read.Found found)) {
+						retryOrUnavailable(deadlineMillis, outcome, () -> readPhase(job, deadlineMillis, outcome));
+						return;
+					}
+					Optional<Row> row = findRow(found, progress);
+					if (row.isPresent()) {
+						JobRecord progressRecord = RecordCodec.readProgress(row.get().value().orElseThrow());
+						outcome.complete(new JobAnswer.Known(progressRecord.phase(),
+								progressRecord.failureMessage().orElse("")));
+						return;
+					}
+					readIntake(job, deadlineMillis, outcome);
+				});
+	}
+
+	private void readIntake(String job, long deadlineMillis, CompletableFuture<JobAnswer> outcome) {
+		Place intake = Tables.job(job);
+		this.loop.onCompletion(this.store.read(intake.table(), intake.key(), 1, this.storeTimeout.timeout()),
+				(read) -> {
+					if (!(read instanceof RowStore.Read.Found found)) {
+						retryOrUnavailable(deadlineMillis, outcome, () -> readIntake(job, deadlineMillis, outcome));
+						return;
+					}
+					outcome.complete(findRow(found, intake).isPresent() ? new JobAnswer.Known(JobPhase.QUEUED)
+							: new JobAnswer.NoSuchJob());
+				});
+	}
+
+	// Without the holder the cancel itself is kept as a row beside the job; whoever holds
+	// the term next, or looks at the intake, finds it there.
+	private void onCancelEnded(String job, boolean persisted, long deadlineMillis,
+			CompletableFuture<JobAnswer> outcome) {
+		if (persisted) {
+			LOG.info("cancel-kept", "job", job, "through", "holder");
+			outcome.complete(new JobAnswer.Known(JobPhase.CANCELLED));
+			return;
+		}
+		Place intake = Tables.job(job);
+		this.loop.onCompletion(this.store.read(intake.table(), intake.key(), 1, this.storeTimeout.timeout()),
+				(read) -> {
+					if (!(read instanceof RowStore.Read.Found found)) {
+						retryOrUnavailable(deadlineMillis, outcome,
+								() -> onCancelEnded(job, false, deadlineMillis, outcome));
+						return;
+					}
+					Optional<Row> row = findRow(found, intake);
+					if (row.isEmpty()) {
+						outcome.complete(new JobAnswer.NoSuchJob());
+						return;
+					}
+					writeCancel(job, row.get(), deadlineMillis, outcome);
+				});
+	}
+
+	private void writeCancel(String job, Row row, long deadlineMillis, CompletableFuture<JobAnswer> outcome) {
+		this.loop.onCompletion(
+				this.store.commit(List.of(new Condition(row.place(), row.version())),
+						List.of(new Write(Tables.cancel(job), Optional.of("{}"))), this.storeTimeout.timeout()),
+				(commitOutcome) -> {
+					if (commitOutcome instanceof RowStore.Commit.Committed) {
+						LOG.info("cancel-kept", "job", job, "through", "store");
+						notifyOfCancel(job);
+						outcome.complete(new JobAnswer.Known(JobPhase.CANCELLED));
+						return;
+					}
+					retryOrUnavailable(deadlineMillis, outcome, () -> writeCancel(job, row, deadlineMillis, outcome));
+				});
+	}
+
+	private void notifyOfCancel(String job) {
+		if (this.schedulerDriver.mayDecide()) {
+			this.schedulerDriver.onCancelPersisted(job);
+			return;
+		}
+		this.calls.notifyHolder(EntryCalls.CANCEL_PERSISTED, job, new byte[0]);
+	}
+
+	private void retryOrUnavailable(long deadlineMillis, CompletableFuture<JobAnswer> outcome, Runnable retry) {
+		if (this.loop.steadyMillis() + STORE_RETRY_DELAY_MILLIS >= deadlineMillis) {
+			outcome.complete(new JobAnswer.Unavailable());
+			return;
+		}
+		this.loop.schedule(STORE_RETRY_DELAY_MILLIS, retry);
+	}
+
+	private static Optional<Row> findRow(RowStore.Read.Found found, Place place) {
+		return found.rows().stream().filter((row) -> row.place().equals(place)).findFirst();
+	}
+
+	private static int statusOf(Submission outcome) {
+		if (outcome instanceof Submission.Accepted) {
+			return EntryCalls.OK;
+		}
+		return (outcome instanceof Submission.Refused) ? EntryCalls.UNAVAILABLE : EntryCalls.UNSETTLED;
+	}
+
+	private static CompletableFuture<Answer> completed(int status, String body) {
+		return CompletableFuture.completedFuture(new Answer(status, body));
+	}
+
+	private static String text(byte[] body) {
+		return new String(body, StandardCharsets.UTF_8);
+	}
+
+	/**
+	 * The answer to another entry.
+	 *
+	 * @param status a status as in HTTP
+	 * @param body a text
+	 * @param headers more of it
+	 */
+	record Answer(int status, String body, Map<String, String> headers) {
+
+		Answer(int status, String body) {
+			this(status, body, Map.of());
+		}
+
+	}
+
+	/**
+	 * A count of jobs with the moment at which it was true.
+	 */
+	private record Count(int count, long atMillis) {
+	}
+
+}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/PeerLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/PeerLinks.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.wire.Message;
 import org.almondmount.wire.PeerConnection;
 
@@ -20,31 +20,32 @@
 final class PeerLinks {
 
 	/** A failed address is dialled again after so long, in milliseconds. */
-	private static final long REDIAL_MILLIS = 1_000;
+	private static final long REDIAL_DELAY_MILLIS = 1_000;
 
 	/** Failures in a row after which an address is given up until it is learnt anew. */
-	private static final int MOST_FAILURES = 30;
+	private static final int MAX_CONSECUTIVE_FAILURES = 30;
 
-	private final String self;
+	private final String ownAddress;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final Consumer<String> dialler;
 
 	private final Map<String, Peer> peers = new LinkedHashMap<>();
 
-	private final Map<Long, Call> calls = new HashMap<>();
+	private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
 
-	private long lastCall;
+	private long lastCallId;
 
 	/**
 	 * Makes links without connections.
-	 * @param self this entry's own peer address
+	 * @param ownAddress this entry's own peer address
 	 * @param loop the thread
-	 * @param dialler dials an address; ends with {@link #opened} or {@link #dialFailed}
+	 * @param dialler dials an address; ends with {@link #onConnected} or
+	 * {@link #dialFailed}
 	 */
-	PeerLinks(String self, Loop loop, Consumer<String> dialler) {
-		this.self = self;
+	PeerLinks(String ownAddress, EventLoop loop, Consumer<String> dialler) {
+		this.ownAddress = ownAddress;
 		this.loop = loop;
 		this.dialler = dialler;
 	}
@@ -53,31 +54,31 @@
 	 * Takes note of an entry's address and connects to it.
 	 * @param address {@code ip:port}
 	 */
-	void known(String address) {
-		if (address.equals(this.self)) {
+	void addAddress(String address) {
+		if (address.equals(this.ownAddress)) {
 			return;
 		}
 		Peer peer = this.peers.computeIfAbsent(address, Peer::new);
-		peer.failures = 0;
+		peer.consecutiveFailures = 0;
 		dial(peer);
 	}
 
-	void opened(PeerConnection connection) {
+	void onConnected(PeerConnection connection) {
 		Peer peer = this.peers.computeIfAbsent(connection.peer().address(), Peer::new);
 		peer.dialling = false;
-		peer.failures = 0;
+		peer.consecutiveFailures = 0;
 		peer.connections.add(connection);
 	}
 
-	void closed(PeerConnection connection) {
-		endCallsOn(connection);
+	void onDisconnected(PeerConnection connection) {
+		failCallsOn(connection);
 		Peer peer = this.peers.get(connection.peer().address());
 		if (peer == null) {
 			return;
 		}
 		peer.connections.remove(connection);
 		if (peer.connections.isEmpty()) {
-			this.loop.after(REDIAL_MILLIS, () -> dial(peer));
+			this.loop.schedule(REDIAL_DELAY_MILLIS, () -> dial(peer));
 		}
 	}
 
@@ -87,11 +88,11 @@
 			return;
 		}
 		peer.dialling = false;
-		if (++peer.failures >= MOST_FAILURES) {
+		if (++peer.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
 			this.peers.remove(address);
 			return;
 		}
-		this.loop.after(REDIAL_MILLIS, () -> dial(peer));
+		this.loop.schedule(REDIAL_DELAY_MILLIS, () -> dial(peer));
 	}
 
 	/**
@@ -100,26 +101,27 @@
 	 */
 	List<String> connectedAddresses() {
 		List<String> addresses = new ArrayList<>();
-		addresses.add(this.self);
-		this.peers.values().stream().filter(Peer::connected).forEach((peer) -> addresses.add(peer.address));
+		addresses.add(this.ownAddress);
+		this.peers.values().stream().filter(Peer::isConnected).forEach((peer) -> addresses.add(peer.address));
 		return addresses;
 	}
 
-	boolean connectedTo(String address) {
+	boolean isConnectedTo(String address) {
 		Peer peer = this.peers.get(address);
-		return peer != null && peer.connected();
+		return peer != null && peer.isConnected();
 	}
 
 	/**
 	 * Addresses of the other entries that are connected.
 	 * @return the addresses
 	 */
-	List<String> others() {
-		return this.peers.values().stream().filter(Peer::connected).map((peer) -> peer.address).toList();
+	List<String> otherConnectedAddresses() {
+		return this.peers.values().stream().filter(Peer::isConnected).map((peer) -> peer.address).toList();
 	}
 
 	void broadcast(Message message) {
-		this.peers.values().forEach((peer) -> peer.last().ifPresent((connection) -> connection.send(message)));
+		this.peers.values()
+			.forEach((peer) -> peer.latestConnection().ifPresent((connection) -> connection.send(message)));
 	}
 
 	/**
@@ -128,43 +130,47 @@
 	 * @param method what is asked
 	 * @param subject what it is about
 	 * @param body further bytes, maybe none
-	 * @param withinMillis after which the call is given up
+	 * @param timeoutMillis after which the call is given up
 	 * @return the answer, or empty where none came
 	 */
 	CompletableFuture<Optional<Message.ForwardAnswer>> call(String address, String method, String subject, byte[] body,
-			long withinMillis) {
+			long timeoutMillis) {
 		CompletableFuture<Optional<Message.ForwardAnswer>> answer = new CompletableFuture<>();
-		Optional<PeerConnection> connection = Optional.ofNullable(this.peers.get(address)).flatMap(Peer::last);
-		long id = ++this.lastCall;
+		Optional<PeerConnection> connection = Optional.ofNullable(this.peers.get(address))
+			.flatMap(Peer::latestConnection);
+		long id = ++this.lastCallId;
 		Message.Forward call = new Message.Forward(id, "", method, subject, body, Map.of());
 		if (connection.isEmpty() || !connection.get().send(call)) {
 			answer.complete(Optional.empty());
 			return answer;
 		}
-		this.calls.put(id, new Call(connection.get(), answer));
-		this.loop.after(withinMillis, () -> {
-			this.calls.remove(id);
+		this.pendingCalls.put(id, new PendingCall(connection.get(), answer));
+		this.loop.schedule(timeoutMillis, () -> {
+			this.pendingCalls.remove(id);
 			answer.complete(Optional.empty());
 		});
 		return answer;
 	}
 
-	void answered(Message.ForwardAnswer answer) {
-		Call waiting = this.calls.remove(answer.id());
-		if (waiting != null) {
-			waiting.answer().complete(Optional.of(answer));
+	void onAnswer(Message.ForwardAnswer answer) {
+		PendingCall pendingCall = this.pendingCalls.remove(answer.id());
+		if (pendingCall != null) {
+			pendingCall.answer().complete(Optional.of(answer));
 		}
 	}
 
 	// No answer comes on a connection that is gone; whoever waits goes another way.
-	private void endCallsOn(PeerConnection connection) {
-		List<Call> ended = this.calls.values().stream().filter((call) -> call.connection() == connection).toList();
-		this.calls.values().removeAll(ended);
-		ended.forEach((call) -> call.answer().complete(Optional.empty()));
+	private void failCallsOn(PeerConnection connection) {
+		List<PendingCall> failedCalls = this.pendingCalls.values()
+			.stream()
+			.filter((call) -> call.connection() == connection)
+			.toList();
+		this.pendingCalls.values().removeAll(failedCalls);
+		failedCalls.forEach((call) -> call.answer().complete(Optional.empty()));
 	}
 
 	private void dial(Peer peer) {
-		if (peer.connected() || peer.dialling || !this.peers.containsKey(peer.address)) {
+		if (peer.isConnected() || peer.dialling || !this.peers.containsKey(peer.address)) {
 			return;
 		}
 		peer.dialling = true;
@@ -174,7 +180,7 @@
 	/**
 	 * A call that is not answered yet.
 	 */
-	private record Call(PeerConnection connection, CompletableFuture<Optional<Message.ForwardAnswer>> answer) {
+	private record PendingCall(PeerConnection connection, CompletableFuture<Optional<Message.ForwardAnswer>> answer) {
 	}
 
 	/**
@@ -188,17 +194,17 @@
 
 		private boolean dialling;
 
-		private int failures;
+		private int consecutiveFailures;
 
 		Peer(String address) {
 			this.address = address;
 		}
 
-		boolean connected() {
+		boolean isConnected() {
 			return !this.connections.isEmpty();
 		}
 
-		Optional<PeerConnection> last() {
+		Optional<PeerConnection> latestConnection() {
 			return this.connections.isEmpty() ? Optional.empty()
 					: Optional.of(this.connections.get(this.connections.size() - 1));
 		}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/HolderDesk.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -13,7 +13,7 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.Tables;
 import org.almondmount.fleet.codec.RecordCodec;
 import org.almondmount.model.InvalidValueException;
@@ -41,45 +41,45 @@
  * Drives the scheduler while this entry holds the term: reads what is kept, keeps what it
  * decides and carries its orders to targets. Belongs to the loop's thread.
  */
-final class HolderDesk {
+final class SchedulerDriver {
 
-	private static final EventLog LOG = EventLog.of(HolderDesk.class);
+	private static final EventLog LOG = EventLog.of(SchedulerDriver.class);
 
 	/** Core-seconds of work that is over, by what became of it. */
-	private static final String WORK = "work";
+	private static final String WORK_METRIC = "work";
 
 	/** Jobs that were given up, by reason. */
-	private static final String FAILED = "jobs.failed";
+	private static final String FAILED_JOBS_METRIC = "jobs.failed";
 
 	/** What a round of placing waiting work takes. */
-	private static final String PLACEMENT = "placement";
+	private static final String PLACEMENT_METRIC = "placement";
 
-	private static final int PAGE = 500;
+	private static final int PAGE_SIZE = 500;
 
 	/**
 	 * Progress without a job that is removed in one transaction: each row takes two of
 	 * its hundred entries, a condition and the removal.
 	 */
-	private static final int MOST_ORPHANS = 45;
+	private static final int MAX_ORPHANS_PER_TRANSACTION = 45;
 
 	/** A page of rows is larger than other answers. */
-	private static final Duration PAGE_TIMEOUT = Duration.ofMillis(1_000);
+	private static final Duration PAGE_READ_TIMEOUT = Duration.ofMillis(1_000);
 
-	private static final long TICK_MILLIS = 50;
+	private static final long TICK_INTERVAL_MILLIS = 50;
 
-	private static final long RELOAD_MILLIS = 100;
+	private static final long RELOAD_DELAY_MILLIS = 100;
 
 	/**
 	 * How often jobs are looked for whose entry did not live to tell of them, in
 	 * milliseconds: a caller's first question comes about then.
 	 */
-	private static final long INTAKE_MILLIS = 2_000;
+	private static final long INTAKE_READ_INTERVAL_MILLIS = 2_000;
 
 	private final WorkflowScheduler scheduler;
 
 	private final RowStore store;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final Telemetry telemetry;
 
@@ -87,20 +87,20 @@
 
 	private final TargetLinks targets;
 
-	private final TargetOrders orders;
+	private final TargetCommandSender commandSender;
 
 	private final long leaseMillis;
 
-	private final PlacementRateLimiter pace = new PlacementRateLimiter();
+	private final PlacementRateLimiter placementRateLimiter = new PlacementRateLimiter();
 
 	/** Whether a round waits in the loop behind the events that came before it. */
-	private boolean placementAsked;
+	private boolean placementRequested;
 
-	private final Map<String, List<Consumer<Boolean>>> cancels = new HashMap<>();
+	private final Map<String, List<Consumer<Boolean>>> pendingCancels = new HashMap<>();
 
-	private List<JobRecord> saving = List.of();
+	private List<JobRecord> pendingRecords = List.of();
 
-	private long savingSequence;
+	private long pendingSequence;
 
 	private boolean loaded;
 
@@ -108,12 +108,12 @@
 
 	private long intakeVersion;
 
-	private boolean intakeAsked;
+	private boolean intakeReadPending;
 
 	/** Jobs beside which a cancel is kept. */
-	private final Set<String> cancelRows = new HashSet<>();
+	private final Set<String> jobsWithCancelRow = new HashSet<>();
 
-	HolderDesk(WorkflowScheduler scheduler, RowStore store, Loop loop, Telemetry telemetry, TermDriver term,
+	SchedulerDriver(WorkflowScheduler scheduler, RowStore store, EventLoop loop, Telemetry telemetry, TermDriver term,
 			TargetLinks targets, long leaseMillis) {
 		this.scheduler = scheduler;
 		this.store = store;
@@ -122,65 +122,65 @@
 		this.term = term;
 		this.targets = targets;
 		this.leaseMillis = leaseMillis;
-		telemetry.declare(WORK, WorkOutcome.class);
-		telemetry.declare(FAILED, JobFailure.class);
-		this.orders = new TargetOrders(term, targets, telemetry);
+		telemetry.declare(WORK_METRIC, WorkOutcome.class);
+		telemetry.declare(FAILED_JOBS_METRIC, JobFailure.class);
+		this.commandSender = new TargetCommandSender(term, targets, telemetry);
 	}
 
 	void start() {
-		this.loop.every(TICK_MILLIS, () -> feed(new WorkflowEvent.Tick()));
-		this.loop.every(INTAKE_MILLIS, this::lookAtIntake);
+		this.loop.scheduleRepeatedly(TICK_INTERVAL_MILLIS, () -> process(new WorkflowEvent.Tick()));
+		this.loop.scheduleRepeatedly(INTAKE_READ_INTERVAL_MILLIS, this::readIntakeChanges);
 	}
 
 	/**
 	 * Whether the scheduler knows all that is kept and may decide.
 	 * @return whether it does
 	 */
-	boolean deciding() {
+	boolean mayDecide() {
 		return this.loaded && this.term.mayDecide();
 	}
 
-	void termBegan(long epoch) {
+	void onTermBegan(long epoch) {
 		this.loaded = false;
 		this.loadingEpoch = epoch;
-		this.intakeAsked = false;
-		this.targets.termBegan(epoch);
+		this.intakeReadPending = false;
+		this.targets.onTermBegan(epoch);
 		load(epoch);
 	}
 
-	void termEnded() {
+	void onTermEnded() {
 		this.loaded = false;
 		this.loadingEpoch = 0;
-		feed(new WorkflowEvent.TermEnded());
-		this.cancels.values().forEach((waiting) -> waiting.forEach((taker) -> taker.accept(false)));
-		this.cancels.clear();
+		process(new WorkflowEvent.TermEnded());
+		this.pendingCancels.values().forEach((waiting) -> waiting.forEach((callback) -> callback.accept(false)));
+		this.pendingCancels.clear();
 		this.targets.announceNoHolder();
 	}
 
-	void saved(long sequence) {
-		feed(new WorkflowEvent.Persisted(sequence));
+	void onPersisted(long sequence) {
+		process(new WorkflowEvent.Persisted(sequence));
 	}
 
-	List<Write> writesOf(long sequence) {
-		if (sequence != this.savingSequence) {
+	List<Write> writesFor(long sequence) {
+		if (sequence != this.pendingSequence) {
 			return List.of();
 		}
 		List<Write> writes = new ArrayList<>();
-		for (JobRecord record : this.saving) {
+		for (JobRecord record : this.pendingRecords) {
 			writes.add(new Write(Tables.progress(record.job()), Optional.of(RecordCodec.write(record))));
 		}
 		return writes;
 	}
 
-	void declared(FleetConfiguration configuration, Set<String> zonesOut) {
-		feed(new WorkflowEvent.ConfigurationChanged(configuration));
-		feed(new WorkflowEvent.ZonesOutChanged(zonesOut));
+	void onConfigurationChanged(FleetConfiguration configuration, Set<String> zonesOut) {
+		process(new WorkflowEvent.ConfigurationChanged(configuration));
+		process(new WorkflowEvent.ZonesOutChanged(zonesOut));
 	}
 
-	void accepted(Workflow job) {
+	void onJobAccepted(Workflow job) {
 		if (this.loaded) {
-			feed(new WorkflowEvent.JobAccepted(job));
-			cancelIfWanted(job.id());
+			process(new WorkflowEvent.JobAccepted(job));
+			cancelIfRequested(job.id());
 		}
 	}
 
@@ -188,9 +188,9 @@
 	 * A cancel is kept beside its job, whether the job is known here yet or not.
 	 * @param job the job
 	 */
-	void cancelKept(String job) {
-		this.cancelRows.add(job);
-		cancelIfWanted(job);
+	void onCancelPersisted(String job) {
+		this.jobsWithCancelRow.add(job);
+		cancelIfRequested(job);
 	}
 
 	/**
@@ -207,157 +207,157 @@
 	 * @param job the job
 	 * @return the reason, or empty where it was not given up or is not known here
 	 */
-	String failure(String job) {
+	String failureMessage(String job) {
 		return this.scheduler.failureMessage(job).orElse("");
 	}
 
-	int waiting(String queue) {
+	int queuedJobCount(String queue) {
 		return this.scheduler.queuedJobCount(queue);
 	}
 
 	/**
 	 * Cancels a job that is known here.
 	 * @param job the job
-	 * @param taker told true once the cancel is kept, false where that is not known
+	 * @param callback told true once the cancel is kept, false where that is not known
 	 */
-	void cancel(String job, Consumer<Boolean> taker) {
-		this.cancels.computeIfAbsent(job, (id) -> new ArrayList<>()).add(taker);
-		feed(new WorkflowEvent.CancelRequested(job));
+	void cancel(String job, Consumer<Boolean> callback) {
+		this.pendingCancels.computeIfAbsent(job, (id) -> new ArrayList<>()).add(callback);
+		process(new WorkflowEvent.CancelRequested(job));
 	}
 
 	// What targets tell is told once. It is heard too while the term waits to be renewed;
 	// nothing is granted or ordered then.
-	void heard(String target, Message message) {
+	void onTargetMessage(String target, Message message) {
 		if (this.term.epoch() == 0) {
 			return;
 		}
-		if (message instanceof Message.TargetAlive alive) {
-			boolean workerAnswers = alive.heartbeat() != WorkerCommand.SendHeartbeat.WORKER_SILENT;
+		if (message instanceof Message.TargetAlive heartbeat) {
+			boolean workerAnswers = heartbeat.heartbeat() != WorkerCommand.SendHeartbeat.WORKER_SILENT;
 			if (workerAnswers) {
-				feed(new WorkflowEvent.WorkerHeartbeat(target));
+				process(new WorkflowEvent.WorkerHeartbeat(target));
 			}
 			if (this.term.mayDecide()) {
-				this.targets.granted(target, alive.heartbeat(), this.term.epoch(),
+				this.targets.grantLease(target, heartbeat.heartbeat(), this.term.epoch(),
 						workerAnswers ? this.leaseMillis : 0);
 			}
 		}
-		else if (message instanceof Message.WorkerTold told && this.loaded) {
-			feed(new WorkflowEvent.WorkerReported(told.report()));
+		else if (message instanceof Message.WorkerTold report && this.loaded) {
+			process(new WorkflowEvent.WorkerReported(report.report()));
 		}
 		else if (message instanceof Message.RunNotBegun refused && this.loaded) {
-			feed(new WorkflowEvent.RunRefused(target, refused.task(), refused.run(), refused.why()));
+			process(new WorkflowEvent.RunRefused(target, refused.task(), refused.run(), refused.why()));
 		}
 	}
 
-	private void feed(WorkflowEvent event) {
+	private void process(WorkflowEvent event) {
 		handle(event);
 		if (!(event instanceof WorkflowEvent.WorkerHeartbeat)) {
-			this.pace.requestRound();
-			askForPlacement();
+			this.placementRateLimiter.requestRound();
+			requestPlacement();
 		}
 	}
 
 	// The round goes behind what waits in the loop already, so that a burst of events is
 	// placed once. Where it rests, or the loop is full, the next tick asks again.
-	private void askForPlacement() {
-		if (!this.placementAsked && deciding() && this.pace.isDue(this.loop.steadyMillis())) {
-			this.placementAsked = this.loop.run(this::place);
+	private void requestPlacement() {
+		if (!this.placementRequested && mayDecide() && this.placementRateLimiter.isDue(this.loop.steadyMillis())) {
+			this.placementRequested = this.loop.execute(this::place);
 		}
 	}
 
 	private void place() {
-		this.placementAsked = false;
-		if (!deciding()) {
+		this.placementRequested = false;
+		if (!mayDecide()) {
 			return;
 		}
-		long from = this.loop.steadyMillis();
+		long startMillis = this.loop.steadyMillis();
 		handle(new WorkflowEvent.PlacementDue());
-		long to = this.loop.steadyMillis();
-		this.pace.recordRound(from, to);
-		this.telemetry.time(PLACEMENT, Duration.ofMillis(to - from));
+		long endMillis = this.loop.steadyMillis();
+		this.placementRateLimiter.recordRound(startMillis, endMillis);
+		this.telemetry.time(PLACEMENT_METRIC, Duration.ofMillis(endMillis - startMillis));
 	}
 
 	private void handle(WorkflowEvent event) {
 		WorkflowScheduler.ClockReading now = new WorkflowScheduler.ClockReading(this.loop.steadyMillis(),
 				this.loop.wallMillis());
 		List<WorkflowCommand> commands = this.scheduler.handle(now, event);
-		commands.forEach(this::carryOut);
+		commands.forEach(this::execute);
 	}
 
-	private void carryOut(WorkflowCommand command) {
-		if (command instanceof WorkflowCommand.LogDecision explain) {
-			LOG.info(explain.event(), explain.keysAndValues().toArray());
+	private void execute(WorkflowCommand command) {
+		if (command instanceof WorkflowCommand.LogDecision decision) {
+			LOG.info(decision.event(), decision.keysAndValues().toArray());
 		}
-		else if (command instanceof WorkflowCommand.Persist keep) {
-			this.saving = keep.records();
-			this.savingSequence = keep.sequence();
-			this.term.save(keep.sequence());
+		else if (command instanceof WorkflowCommand.Persist persist) {
+			this.pendingRecords = persist.records();
+			this.pendingSequence = persist.sequence();
+			this.term.persist(persist.sequence());
 		}
 		else if (command instanceof WorkflowCommand.AccountWork work) {
-			this.telemetry.count(WORK, work.outcome(), Math.round(work.coreSeconds()));
+			this.telemetry.count(WORK_METRIC, work.outcome(), Math.round(work.coreSeconds()));
 		}
 		else if (command instanceof WorkflowCommand.CountFailure failure) {
-			this.telemetry.count(FAILED, failure.failure());
+			this.telemetry.count(FAILED_JOBS_METRIC, failure.failure());
 		}
-		else if (command instanceof WorkflowCommand.DeleteJobs forget) {
-			forget(forget.jobs());
+		else if (command instanceof WorkflowCommand.DeleteJobs deletion) {
+			deleteJobs(deletion.jobs());
 		}
-		else if (command instanceof WorkflowCommand.CancellationPersisted kept) {
-			List<Consumer<Boolean>> waiting = this.cancels.remove(kept.job());
+		else if (command instanceof WorkflowCommand.CancellationPersisted persisted) {
+			List<Consumer<Boolean>> waiting = this.pendingCancels.remove(persisted.job());
 			if (waiting != null) {
 				waiting.forEach((taker) -> taker.accept(true));
 			}
 		}
 		else if (command instanceof WorkflowCommand.StartRun start) {
-			this.orders.start(start);
+			this.commandSender.sendStart(start);
 		}
 		else if (command instanceof WorkflowCommand.StopRun stop) {
-			this.orders.stop(stop);
+			this.commandSender.sendStop(stop);
 		}
 		else if (command instanceof WorkflowCommand.AcknowledgeEnds ends) {
-			this.orders.acknowledge(ends);
+			this.commandSender.sendEndsAcknowledgement(ends);
 		}
 	}
 
 	// A job counts as accepted while its row of the intake is there, so that goes first.
 	// A holder that is lost in between leaves progress without such a row; the next one
 	// removes it when it loads.
-	private void forget(List<String> jobs) {
+	private void deleteJobs(List<String> jobs) {
 		List<Write> rows = new ArrayList<>();
 		for (String job : jobs) {
 			rows.add(new Write(Tables.job(job), Optional.empty()));
-			if (this.cancelRows.contains(job)) {
+			if (this.jobsWithCancelRow.contains(job)) {
 				rows.add(new Write(Tables.cancel(job), Optional.empty()));
 			}
 		}
-		remove(rows, () -> forgetProgress(jobs, () -> {
-			this.cancelRows.removeAll(jobs);
-			feed(new WorkflowEvent.JobsDeleted(jobs));
+		deleteRows(rows, () -> deleteProgress(jobs, () -> {
+			this.jobsWithCancelRow.removeAll(jobs);
+			process(new WorkflowEvent.JobsDeleted(jobs));
 		}));
 	}
 
-	private void forgetProgress(List<String> jobs, Runnable then) {
-		remove(jobs.stream().map((job) -> new Write(Tables.progress(job), Optional.empty())).toList(), then);
+	private void deleteProgress(List<String> jobs, Runnable onDeleted) {
+		deleteRows(jobs.stream().map((job) -> new Write(Tables.progress(job), Optional.empty())).toList(), onDeleted);
 	}
 
 	// What can't be removed now stays where it is, and is tried again later.
-	private void remove(List<Write> rows, Runnable then) {
-		remove(List.of(), rows, then);
+	private void deleteRows(List<Write> rows, Runnable onDeleted) {
+		deleteRows(List.of(), rows, onDeleted);
 	}
 
-	private void remove(List<Condition> conditions, List<Write> rows, Runnable then) {
+	private void deleteRows(List<Condition> conditions, List<Write> rows, Runnable onDeleted) {
 		long epoch = this.loadingEpoch;
-		this.loop.then(this.store.commit(conditions, rows, PAGE_TIMEOUT), (ending) -> {
-			if (ending instanceof RowStore.Commit.Conflict) {
+		this.loop.onCompletion(this.store.commit(conditions, rows, PAGE_READ_TIMEOUT), (outcome) -> {
+			if (outcome instanceof RowStore.Commit.Conflict) {
 				LOG.warn("rows-not-removed", "rows", rows.size(), "why", "a row was kept anew meanwhile");
 				return;
 			}
-			if (!(ending instanceof RowStore.Commit.Committed)) {
-				LOG.warn("rows-not-removed", "rows", rows.size(), "why", ending);
+			if (!(outcome instanceof RowStore.Commit.Committed)) {
+				LOG.warn("rows-not-removed", "rows", rows.size(), "why", outcome);
 				return;
 			}
 			if (this.loadingEpoch == epoch) {
-				then.run();
+				onDeleted.run();
 			}
 		});
 	}
@@ -381,25 +381,26 @@
 		Set<String> cancelled = new HashSet<>();
 		Map<String, Workflow> jobs = new LinkedHashMap<>();
 		for (Row row : intake) {
-			if (Tables.isJob(row.place())) {
+			if (Tables.isJobRow(row.place())) {
 				decode(row, RecordCodec::readWorkflow).ifPresent((job) -> jobs.put(job.id(), job));
 			}
 			else {
-				cancelled.add(Tables.jobOf(row.place()));
+				cancelled.add(Tables.jobId(row.place()));
 			}
 		}
-		List<StoredJob> kept = new ArrayList<>();
+		List<StoredJob> storedJobs = new ArrayList<>();
 		for (Workflow job : jobs.values()) {
-			kept.add(new StoredJob(job, Optional.ofNullable(records.get(job.id())), cancelled.contains(job.id())));
+			storedJobs
+				.add(new StoredJob(job, Optional.ofNullable(records.get(job.id())), cancelled.contains(job.id())));
 		}
-		LOG.info("term-loaded", "epoch", epoch, "jobs", kept.size(), "cancelled", cancelled.size());
-		this.cancelRows.clear();
-		this.cancelRows.addAll(cancelled);
+		LOG.info("term-loaded", "epoch", epoch, "jobs", storedJobs.size(), "cancelled", cancelled.size());
+		this.jobsWithCancelRow.clear();
+		this.jobsWithCancelRow.addAll(cancelled);
 		removeOrphans(epoch, intake, progress.stream().filter((row) -> records.containsKey(row.place().key())));
 		this.loaded = true;
-		feed(new WorkflowEvent.TermBegan(epoch, kept));
+		process(new WorkflowEvent.TermBegan(epoch, storedJobs));
 		this.targets.announceHolder(epoch);
-		lookAtIntake();
+		readIntakeChanges();
 	}
 
 	// A job that can't be read here may be read by another version: its progress has to
@@ -407,90 +408,91 @@
 	// not hit progress that was kept since.
 	private void removeOrphans(long epoch, List<Row> intake, Stream<Row> progress) {
 		Set<String> accepted = new HashSet<>();
-		intake.forEach((row) -> accepted.add(Tables.jobOf(row.place())));
+		intake.forEach((row) -> accepted.add(Tables.jobId(row.place())));
 		List<Row> orphans = progress.filter((row) -> !accepted.contains(row.place().key()))
-			.limit(MOST_ORPHANS)
+			.limit(MAX_ORPHANS_PER_TRANSACTION)
 			.toList();
 		if (orphans.isEmpty()) {
 			return;
 		}
 		LOG.info("orphans-found", "epoch", epoch, "jobs", orphans.stream().map((row) -> row.place().key()).toList());
-		remove(orphans.stream().map((row) -> new Condition(row.place(), row.version())).toList(),
+		deleteRows(orphans.stream().map((row) -> new Condition(row.place(), row.version())).toList(),
 				orphans.stream().map((row) -> new Write(row.place(), Optional.empty())).toList(),
 				() -> LOG.info("orphans-removed", "epoch", epoch, "jobs", orphans.size()));
 	}
 
-	private void readAll(String table, String from, List<Row> found, long oldest, long epoch,
-			Consumer<RowStore.Read.Found> taker) {
-		this.loop.then(this.store.read(table, from, PAGE, PAGE_TIMEOUT), (read) -> {
+	private void readAll(String table, String from, List<Row> found, long oldestVersion, long epoch,
+			Consumer<RowStore.Read.Found> consumer) {
+		this.loop.onCompletion(this.store.read(table, from, PAGE_SIZE, PAGE_READ_TIMEOUT), (read) -> {
 			if (this.loadingEpoch != epoch) {
 				return;
 			}
 			if (!(read instanceof RowStore.Read.Found page)) {
 				LOG.warn("load-retried", "table", table, "why", read);
-				this.loop.after(RELOAD_MILLIS, () -> readAll(table, from, found, oldest, epoch, taker));
+				this.loop.schedule(RELOAD_DELAY_MILLIS,
+						() -> readAll(table, from, found, oldestVersion, epoch, consumer));
 				return;
 			}
 			found.addAll(page.rows());
-			long since = Math.min(oldest, page.version());
+			long sinceVersion = Math.min(oldestVersion, page.version());
 			if (page.more() && !page.rows().isEmpty()) {
 				String next = page.rows().get(page.rows().size() - 1).place().key() + "\0";
-				readAll(table, next, found, since, epoch, taker);
+				readAll(table, next, found, sinceVersion, epoch, consumer);
 				return;
 			}
-			taker.accept(new RowStore.Read.Found(found, false, since));
+			consumer.accept(new RowStore.Read.Found(found, false, sinceVersion));
 		});
 	}
 
 	// An entry that accepted a job tells the holder at once. One that dies in between
 	// leaves the job in the store, where it is found here.
-	private void lookAtIntake() {
-		if (!deciding() || this.intakeAsked) {
+	private void readIntakeChanges() {
+		if (!mayDecide() || this.intakeReadPending) {
 			return;
 		}
-		this.intakeAsked = true;
+		this.intakeReadPending = true;
 		long epoch = this.loadingEpoch;
-		this.loop.then(this.store.changes(Tables.INTAKE, this.intakeVersion, Duration.ZERO), (changes) -> {
-			this.intakeAsked = false;
+		this.loop.onCompletion(this.store.changes(Tables.INTAKE, this.intakeVersion, Duration.ZERO), (changes) -> {
+			this.intakeReadPending = false;
 			if (this.loadingEpoch != epoch || !this.loaded) {
 				return;
 			}
 			if (changes instanceof RowStore.Changes.Found found) {
-				found.rows().forEach(this::takeIntake);
+				found.rows().forEach(this::applyIntakeRow);
 				this.intakeVersion = Math.max(this.intakeVersion, found.version());
 			}
 			else if (changes instanceof RowStore.Changes.Forgotten) {
 				readAll(Tables.INTAKE, "", new ArrayList<>(), Long.MAX_VALUE, epoch, (intake) -> {
-					intake.rows().forEach(this::takeIntake);
+					intake.rows().forEach(this::applyIntakeRow);
 					this.intakeVersion = intake.version();
 				});
 			}
 			else {
 				LOG.warn("intake-look-retried", "why", changes);
-				this.loop.after(RELOAD_MILLIS, this::lookAtIntake);
+				this.loop.schedule(RELOAD_DELAY_MILLIS, this::readIntakeChanges);
 			}
 		});
 	}
 
-	private void takeIntake(Row row) {
+	private void applyIntakeRow(Row row) {
 		if (row.value().isEmpty()) {
 			return;
 		}
-		String job = Tables.jobOf(row.place());
-		if (Tables.isJob(row.place())) {
-			decode(row, RecordCodec::readWorkflow).ifPresent(this::accepted);
+		String job = Tables.jobId(row.place());
+		if (Tables.isJobRow(row.place())) {
+			decode(row, RecordCodec::readWorkflow).ifPresent(this::onJobAccepted);
 			return;
 		}
-		cancelKept(job);
+		onCancelPersisted(job);
 	}
 
 	// Rows read anew come in the order of their keys, a cancel before its job. It has to
 	// count once the job is known, or the job would run though its caller was told that
 	// it is cancelled.
-	private void cancelIfWanted(String job) {
-		boolean open = this.scheduler.phase(job).map((phase) -> !phase.isTerminal()).orElse(false);
-		if (open && this.cancelRows.contains(job)) {
-			feed(new WorkflowEvent.CancelRequested(job));
+	private void cancelIfRequested(String job) {
+		boolean active = this.scheduler.phase(job).map((phase) -> !phase.isTerminal()).orElse(false);
+		if (active && this.jobsWithCancelRow.contains(job)) {
+			process(new WorkflowEvent.CancelRequested(job));
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/StoreProbe.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/StoreProbe.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-import org.almondmount.fleet.Loop;
-import org.almondmount.fleet.StorePatience;
+import org.almondmount.fleet.AdaptiveStoreTimeout;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.Tables;
 import org.almondmount.rows.RowStore;
 
@@ -22,76 +22,78 @@
 	/**
 	 * Pause between two questions while a caller waits for the answer, in milliseconds.
 	 */
-	private static final long PAUSE_MILLIS = 100;
+	private static final long PROBE_INTERVAL_MILLIS = 100;
 
 	/** Turns between two questions while nobody waits. */
-	private static final int TURNS_WHEN_IDLE = 3;
+	private static final int TICKS_PER_PROBE_WHEN_IDLE = 3;
 
 	private final RowStore store;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
-	private final StorePatience patience;
+	private final AdaptiveStoreTimeout storeTimeout;
 
-	private final BooleanSupplier waitedFor;
+	private final BooleanSupplier callerWaiting;
 
 	private final List<Runnable> listeners = new ArrayList<>();
 
-	private int turn;
+	private int tickCount;
 
-	private boolean asking;
+	private boolean probing;
 
 	/**
 	 * Makes a probe that asks nothing before {@link #start()}.
 	 * @param store the store
 	 * @param loop the thread
-	 * @param patience knows whether the store is silent
-	 * @param waitedFor whether a caller waits for the store
+	 * @param storeTimeout knows whether the store is silent
+	 * @param callerWaiting whether a caller waits for the store
 	 */
-	StoreProbe(RowStore store, Loop loop, StorePatience patience, BooleanSupplier waitedFor) {
-		this.waitedFor = waitedFor;
+	StoreProbe(RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout, BooleanSupplier callerWaiting) {
+		this.callerWaiting = callerWaiting;
 		this.store = store;
 		this.loop = loop;
-		this.patience = patience;
+		this.storeTimeout = storeTimeout;
 	}
 
 	/**
 	 * Has something done each time the store answers again.
 	 * @param listener what to do
 	 */
-	void whenAnswering(Runnable listener) {
+	void addListener(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
 	void start() {
-		this.loop.every(PAUSE_MILLIS, () -> {
-			this.turn++;
-			if (this.waitedFor.getAsBoolean() || this.turn % TURNS_WHEN_IDLE == 0) {
-				ask();
+		this.loop.scheduleRepeatedly(PROBE_INTERVAL_MILLIS, () -> {
+			this.tickCount++;
+			if (this.callerWaiting.getAsBoolean() || this.tickCount % TICKS_PER_PROBE_WHEN_IDLE == 0) {
+				probe();
 			}
 		});
 	}
 
 	/** Asks at once: something else was answered, or another entry was. */
-	void ask() {
-		if (!this.patience.expectsSilence()) {
-			if (this.asking) {
-				answering();
+	void probe() {
+		if (!this.storeTimeout.isSilenceExpected()) {
+			if (this.probing) {
+				notifyAnswering();
 			}
 			return;
 		}
-		this.asking = true;
-		long sentAt = this.loop.steadyMillis();
-		this.loop.then(this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, StorePatience.longest()), (read) -> {
-			if (this.asking && read instanceof RowStore.Read.Found) {
-				this.patience.answered(this.loop.steadyMillis() - sentAt);
-				answering();
-			}
-		});
+		this.probing = true;
+		long sentAtMillis = this.loop.steadyMillis();
+		this.loop.onCompletion(
+				this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, AdaptiveStoreTimeout.maxTimeout()),
+				(read) -> {
+					if (this.probing && read instanceof RowStore.Read.Found) {
+						this.storeTimeout.onAnswer(this.loop.steadyMillis() - sentAtMillis);
+						notifyAnswering();
+					}
+				});
 	}
 
-	private void answering() {
-		this.asking = false;
+	private void notifyAnswering() {
+		this.probing = false;
 		this.listeners.forEach(Runnable::run);
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetOrders.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
@@ -10,12 +10,12 @@
  * Sends the holder's orders to targets, and says which of them did not leave. Belongs to
  * the loop's thread.
  */
-final class TargetOrders {
+final class TargetCommandSender {
 
-	private static final EventLog LOG = EventLog.of(TargetOrders.class);
+	private static final EventLog LOG = EventLog.of(TargetCommandSender.class);
 
 	/** Orders that did not leave for their target, by reason. */
-	private static final String UNDELIVERED = "orders.undelivered";
+	private static final String UNDELIVERED_METRIC = "orders.undelivered";
 
 	private final TermDriver term;
 
@@ -23,61 +23,61 @@
 
 	private final Telemetry telemetry;
 
-	TargetOrders(TermDriver term, TargetLinks targets, Telemetry telemetry) {
+	TargetCommandSender(TermDriver term, TargetLinks targets, Telemetry telemetry) {
 		this.term = term;
 		this.targets = targets;
 		this.telemetry = telemetry;
-		telemetry.declare(UNDELIVERED, UndeliveredReason.class);
+		telemetry.declare(UNDELIVERED_METRIC, UndeliveredReason.class);
 	}
 
-	void start(WorkflowCommand.StartRun start) {
-		order("start", start.target(), start.task(), start.run(),
+	void sendStart(WorkflowCommand.StartRun start) {
+		send("start", start.target(), start.task(), start.run(),
 				(epoch, heartbeat) -> new Message.RunStart(epoch, heartbeat, start.incarnation(), start.task(),
 						start.run(), start.program(), start.checkpoint(), start.capacity()));
 	}
 
-	void stop(WorkflowCommand.StopRun stop) {
-		order("stop", stop.target(), stop.task(), stop.run(),
+	void sendStop(WorkflowCommand.StopRun stop) {
+		send("stop", stop.target(), stop.task(), stop.run(),
 				(epoch, heartbeat) -> new Message.RunStop(epoch, stop.incarnation(), stop.task(), stop.run()));
 	}
 
 	// Not repeated: a worker lists an end until it hears that it is kept. What is kept
 	// stays so, whether the term is renewed in time or not.
-	void acknowledge(WorkflowCommand.AcknowledgeEnds ends) {
+	void sendEndsAcknowledgement(WorkflowCommand.AcknowledgeEnds ends) {
 		if (this.term.epoch() == 0) {
 			return;
 		}
 		long epoch = this.term.epoch();
 		if (!this.targets.send(ends.target(),
 				(heartbeat) -> new Message.EndsKept(epoch, ends.incarnation(), ends.upToSequence()))) {
-			this.telemetry.count(UNDELIVERED, UndeliveredReason.TARGET_NOT_CONNECTED);
+			this.telemetry.count(UNDELIVERED_METRIC, UndeliveredReason.TARGET_NOT_CONNECTED);
 		}
 	}
 
-	private void order(String kind, String target, TaskId task, int run, OrderMessage message) {
+	private void send(String kind, String target, TaskId task, int run, MessageFactory message) {
 		if (!this.term.mayDecide()) {
-			undelivered(kind, target, task, run, UndeliveredReason.TERM_OVER);
+			recordUndelivered(kind, target, task, run, UndeliveredReason.TERM_OVER);
 			return;
 		}
 		long epoch = this.term.epoch();
 		this.telemetry.count("orders." + kind);
-		if (!this.targets.send(target, (heartbeat) -> message.of(epoch, heartbeat))) {
-			undelivered(kind, target, task, run, UndeliveredReason.TARGET_NOT_CONNECTED);
+		if (!this.targets.send(target, (heartbeat) -> message.create(epoch, heartbeat))) {
+			recordUndelivered(kind, target, task, run, UndeliveredReason.TARGET_NOT_CONNECTED);
 		}
 	}
 
-	private void undelivered(String kind, String target, TaskId task, int run, UndeliveredReason why) {
-		this.telemetry.count(UNDELIVERED, why);
+	private void recordUndelivered(String kind, String target, TaskId task, int run, UndeliveredReason reason) {
+		this.telemetry.count(UNDELIVERED_METRIC, reason);
 		LOG.info("order-undelivered", "order", kind, "task", task, "run", run, "target", target, "epoch",
-				this.term.epoch(), "why", why);
+				this.term.epoch(), "why", reason);
 	}
 
 	/**
 	 * Makes the message of an order.
 	 */
-	private interface OrderMessage {
+	private interface MessageFactory {
 
-		Message of(long epoch, long heartbeat);
+		Message create(long epoch, long heartbeat);
 
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
@@ -19,25 +19,25 @@
 
 	private final Map<String, Link> links = new HashMap<>();
 
-	private final Supplier<List<String>> entries;
+	private final Supplier<List<String>> entryAddresses;
 
 	private long holderEpoch;
 
-	private TermRow holder;
+	private TermRow otherHolder;
 
-	TargetLinks(Supplier<List<String>> entries) {
-		this.entries = entries;
+	TargetLinks(Supplier<List<String>> entryAddresses) {
+		this.entryAddresses = entryAddresses;
 	}
 
-	void opened(PeerConnection connection) {
-		Link before = this.links.put(connection.peer().name(), new Link(connection));
-		if (before != null) {
-			before.connection.close(CloseReason.REPLACED);
+	void onConnected(PeerConnection connection) {
+		Link previous = this.links.put(connection.peer().name(), new Link(connection));
+		if (previous != null) {
+			previous.connection.close(CloseReason.REPLACED);
 		}
-		tellHolder(connection);
+		sendHolder(connection);
 	}
 
-	void closed(PeerConnection connection) {
+	void onDisconnected(PeerConnection connection) {
 		Link link = this.links.get(connection.peer().name());
 		if (link != null && link.connection == connection) {
 			this.links.remove(connection.peer().name());
@@ -53,33 +53,33 @@
 	 * This entry takes the term, so the holder that was last seen is none any more.
 	 * @param epoch the epoch of the term
 	 */
-	void termBegan(long epoch) {
-		this.holder = null;
+	void onTermBegan(long epoch) {
+		this.otherHolder = null;
 		announceHolder(epoch);
 	}
 
 	void announceHolder(long epoch) {
 		this.holderEpoch = epoch;
-		this.links.values().forEach((link) -> tellHolder(link.connection));
+		this.links.values().forEach((link) -> sendHolder(link.connection));
 	}
 
 	void announceNoHolder() {
 		this.holderEpoch = 0;
-		this.links.values().forEach((link) -> tellHolder(link.connection));
+		this.links.values().forEach((link) -> sendHolder(link.connection));
 	}
 
-	void holderSeen(TermRow row) {
-		this.holder = row;
+	void onHolderSeen(TermRow row) {
+		this.otherHolder = row;
 		if (this.holderEpoch == 0) {
-			this.links.values().forEach((link) -> tellHolder(link.connection));
+			this.links.values().forEach((link) -> sendHolder(link.connection));
 		}
 	}
 
-	void granted(String target, long heartbeat, long epoch, long leaseMillis) {
+	void grantLease(String target, long heartbeat, long epoch, long leaseMillis) {
 		Link link = this.links.get(target);
 		if (link != null) {
 			link.heartbeat = heartbeat;
-			link.connection.send(new Message.LeaseGranted(epoch, heartbeat, leaseMillis, this.entries.get()));
+			link.connection.send(new Message.LeaseGranted(epoch, heartbeat, leaseMillis, this.entryAddresses.get()));
 		}
 	}
 
@@ -98,11 +98,11 @@
 		return true;
 	}
 
-	private void tellHolder(PeerConnection connection) {
+	private void sendHolder(PeerConnection connection) {
 		connection.send(new Message.EntryHeartbeat(0, 0, this.holderEpoch, this.holderEpoch != 0));
-		if (this.holderEpoch == 0 && this.holder != null) {
-			connection.send(new Message.HolderIs(new EntryId(this.holder.holder()), this.holder.epoch(),
-					this.holder.address()));
+		if (this.holderEpoch == 0 && this.otherHolder != null) {
+			connection.send(new Message.HolderIs(new EntryId(this.otherHolder.holder()), this.otherHolder.epoch(),
+					this.otherHolder.address()));
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.function.LongFunction;
 
-import org.almondmount.fleet.Loop;
-import org.almondmount.fleet.StorePatience;
+import org.almondmount.fleet.AdaptiveStoreTimeout;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.Tables;
 import org.almondmount.fleet.codec.RecordCodec;
 import org.almondmount.model.InvalidValueException;
@@ -29,50 +29,50 @@
 
 	private static final EventLog LOG = EventLog.of(TermDriver.class);
 
-	private static final long TICK_MILLIS = 50;
+	private static final long TICK_INTERVAL_MILLIS = 50;
 
-	private final TermKeeper keeper;
+	private final TermKeeper manager;
 
 	private final RowStore store;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final Telemetry telemetry;
 
-	private final StorePatience patience;
+	private final AdaptiveStoreTimeout storeTimeout;
 
 	private final Listener listener;
 
-	private final LongFunction<List<Write>> saves;
+	private final LongFunction<List<Write>> writesForSequence;
 
 	private Optional<TermRow> holder = Optional.empty();
 
-	private boolean storeAnswers = true;
+	private boolean storeAnswering = true;
 
 	/**
 	 * Makes a driver that does nothing before {@link #start()}.
 	 * @param settings how this entry takes part
 	 * @param store where the row lies
 	 * @param loop the thread
-	 * @param patience how long the store is waited for
+	 * @param storeTimeout how long the store is waited for
 	 * @param telemetry the process's metrics
-	 * @param saves the writes of a save, by its sequence
+	 * @param writesForSequence the writes of a save, by its sequence
 	 * @param listener hears of the term
 	 */
-	TermDriver(TermSettings settings, RowStore store, Loop loop, StorePatience patience, Telemetry telemetry,
-			LongFunction<List<Write>> saves, Listener listener) {
-		this.keeper = new TermKeeper(settings);
+	TermDriver(TermSettings settings, RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout,
+			Telemetry telemetry, LongFunction<List<Write>> writesForSequence, Listener listener) {
+		this.manager = new TermKeeper(settings);
 		this.store = store;
 		this.loop = loop;
 		this.telemetry = telemetry;
-		this.patience = patience;
-		this.saves = saves;
+		this.storeTimeout = storeTimeout;
+		this.writesForSequence = writesForSequence;
 		this.listener = listener;
 	}
 
 	void start() {
-		feed(new TermEvent.Tick());
-		this.loop.every(TICK_MILLIS, () -> feed(new TermEvent.Tick()));
+		process(new TermEvent.Tick());
+		this.loop.scheduleRepeatedly(TICK_INTERVAL_MILLIS, () -> process(new TermEvent.Tick()));
 	}
 
 	/**
@@ -80,19 +80,19 @@
 	 * @return whether it holds the term and the term is valid by the clock
 	 */
 	boolean mayDecide() {
-		return this.loop.steadyMillis() < this.keeper.validUntilMillis();
+		return this.loop.steadyMillis() < this.manager.validUntilMillis();
 	}
 
 	long epoch() {
-		return this.keeper.epoch();
+		return this.manager.epoch();
 	}
 
 	/**
 	 * This entry's last commit that is in the store.
 	 * @return its number, 0 where there is none
 	 */
-	long keptCommit() {
-		return this.keeper.keptCommit();
+	long persistedCommit() {
+		return this.manager.keptCommit();
 	}
 
 	/**
@@ -103,8 +103,8 @@
 		return this.holder;
 	}
 
-	void save(long sequence) {
-		feed(new TermEvent.Save(sequence));
+	void persist(long sequence) {
+		process(new TermEvent.Save(sequence));
 	}
 
 	/**
@@ -114,51 +114,52 @@
 	 * @param entry its name
 	 * @param address where it accepts peers
 	 */
-	void holderHeard(long epoch, long commit, String entry, String address) {
-		if (epoch < this.keeper.epoch()) {
+	void onHolderAnnounced(long epoch, long commit, String entry, String address) {
+		if (epoch < this.manager.epoch()) {
 			return;
 		}
 		if (epoch > this.holder.map(TermRow::epoch).orElse(0L)) {
-			TermRow heard = new TermRow(entry, address, epoch, 0, 0, false);
-			this.holder = Optional.of(heard);
-			this.listener.holderSeen(heard);
+			TermRow announced = new TermRow(entry, address, epoch, 0, 0, false);
+			this.holder = Optional.of(announced);
+			this.listener.onHolderSeen(announced);
 		}
-		feed(new TermEvent.HolderHeard(epoch, commit));
+		process(new TermEvent.HolderHeard(epoch, commit));
 	}
 
 	/**
 	 * The holder of an epoch surely decides nothing any more.
 	 * @param epoch the epoch
 	 */
-	void holderQuit(long epoch) {
-		feed(new TermEvent.HolderQuit(epoch));
+	void onHolderResigned(long epoch) {
+		process(new TermEvent.HolderQuit(epoch));
 	}
 
-	void holderLost() {
-		feed(new TermEvent.HolderLost());
+	void onHolderLost() {
+		process(new TermEvent.HolderLost());
 	}
 
 	/** The store answers again. A commit that it has not answered may only be slow. */
-	void storeAnswers() {
-		if (this.patience.answersQuickly()) {
-			feed(new TermEvent.StoreAnswers());
+	void onStoreAnswering() {
+		if (this.storeTimeout.answersQuickly()) {
+			process(new TermEvent.StoreAnswers());
 		}
 	}
 
 	void release() {
-		feed(new TermEvent.Release());
+		process(new TermEvent.Release());
 	}
 
-	private void feed(TermEvent event) {
-		List<TermCommand> commands = new ArrayList<>(this.keeper.handle(this.loop.steadyMillis(), event));
-		commands.forEach(this::carryOut);
+	private void process(TermEvent event) {
+		List<TermCommand> commands = new ArrayList<>(this.manager.handle(this.loop.steadyMillis(), event));
+		commands.forEach(this::execute);
 	}
 
-	private void carryOut(TermCommand command) {
+	private void execute(TermCommand command) {
 		if (command instanceof TermCommand.Look) {
-			long sentAt = this.loop.steadyMillis();
-			this.loop.then(this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, this.patience.timeout()),
-					(read) -> looked(sentAt, read));
+			long sentAtMillis = this.loop.steadyMillis();
+			this.loop.onCompletion(
+					this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, this.storeTimeout.timeout()),
+					(read) -> onTermRowRead(sentAtMillis, read));
 		}
 		else if (command instanceof TermCommand.Commit commit) {
 			commit(commit);
@@ -167,53 +168,53 @@
 			this.holder = Optional.empty();
 			this.telemetry.count("term.began");
 			LOG.info("term-began", "epoch", began.epoch());
-			this.listener.began(began.epoch());
+			this.listener.onTermBegan(began.epoch());
 		}
 		else if (command instanceof TermCommand.Ended ended) {
 			this.telemetry.count("term.ended");
 			LOG.warn("term-ended", "epoch", ended.epoch(), "why", ended.why());
-			this.listener.ended(ended.epoch());
+			this.listener.onTermEnded(ended.epoch());
 		}
 		else if (command instanceof TermCommand.Saved saved) {
-			this.listener.saved(saved.sequence());
+			this.listener.onPersisted(saved.sequence());
 		}
 		else if (command instanceof TermCommand.HolderSeen seen) {
 			this.holder = Optional.of(seen.row());
 			LOG.info("holder-seen", "holder", seen.row().holder(), "epoch", seen.row().epoch(), "address",
 					seen.row().address());
-			this.listener.holderSeen(seen.row());
+			this.listener.onHolderSeen(seen.row());
 		}
 		else if (command instanceof TermCommand.Released released) {
 			LOG.info("term-released", "epoch", released.epoch());
 			if (released.epoch() != 0) {
-				this.listener.ended(released.epoch());
+				this.listener.onTermEnded(released.epoch());
 			}
-			this.listener.released();
+			this.listener.onReleased();
 		}
 	}
 
-	private void looked(long sentAt, RowStore.Read read) {
+	private void onTermRowRead(long sentAtMillis, RowStore.Read read) {
 		if (!(read instanceof RowStore.Read.Found found)) {
-			this.patience.silent();
-			storeSilent(read.toString());
-			feed(new TermEvent.ReadFailed());
+			this.storeTimeout.onTimeout();
+			recordStoreFailure(read.toString());
+			process(new TermEvent.ReadFailed());
 			return;
 		}
-		storeAnswered(sentAt);
+		recordStoreAnswer(sentAtMillis);
 		Optional<Row> row = termRow(found.rows());
-		feed(new TermEvent.RowRead(row.flatMap(TermDriver::parse), row.map(Row::version).orElse(0L)));
+		process(new TermEvent.RowRead(row.flatMap(TermDriver::parse), row.map(Row::version).orElse(0L)));
 	}
 
 	private void commit(TermCommand.Commit commit) {
 		List<Write> writes = new ArrayList<>();
 		writes.add(new Write(Tables.TERM, Optional.of(RecordCodec.write(commit.row()))));
 		if (commit.save() != 0) {
-			writes.addAll(this.saves.apply(commit.save()));
+			writes.addAll(this.writesForSequence.apply(commit.save()));
 		}
 		CommitCall call = new CommitCall(commit.row(), writes, this.loop.steadyMillis());
-		this.loop.then(this.store.commit(List.of(new Condition(Tables.TERM, commit.expectedVersion())), writes,
-				StorePatience.longest()), (ending) -> ended(call, ending));
-		this.loop.after(this.patience.timeout().toMillis(), () -> overdue(call));
+		this.loop.onCompletion(this.store.commit(List.of(new Condition(Tables.TERM, commit.expectedVersion())), writes,
+				AdaptiveStoreTimeout.maxTimeout()), (outcome) -> onCommitEnded(call, outcome));
+		this.loop.schedule(this.storeTimeout.timeout().toMillis(), () -> onOverdue(call));
 	}
 
 	// A lost answer is found out only by waiting, so the row is read soon. A store takes
@@ -221,98 +222,100 @@
 	// holds up the next commit by as much as the first took, and the holder loses its
 	// term by its own copies. So only a store that answers the read quickly is sent the
 	// commit again.
-	private void overdue(CommitCall call) {
+	private void onOverdue(CommitCall call) {
 		if (call.answered) {
 			return;
 		}
-		explain(call, "unanswered", "no answer yet");
-		this.patience.silent();
-		storeSilent("no answer yet after " + (this.loop.steadyMillis() - call.sentAt) + " ms");
-		long askedAt = this.loop.steadyMillis();
-		this.loop.then(this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, StorePatience.longest()),
-				(read) -> settle(call, askedAt, read));
+		logFailedCommit(call, "unanswered", "no answer yet");
+		this.storeTimeout.onTimeout();
+		recordStoreFailure("no answer yet after " + (this.loop.steadyMillis() - call.sentAtMillis) + " ms");
+		long readSentAtMillis = this.loop.steadyMillis();
+		this.loop.onCompletion(
+				this.store.read(Tables.TERM.table(), Tables.TERM.key(), 1, AdaptiveStoreTimeout.maxTimeout()),
+				(read) -> onOverdueRead(call, readSentAtMillis, read));
 	}
 
-	private void settle(CommitCall call, long askedAt, RowStore.Read read) {
+	private void onOverdueRead(CommitCall call, long readSentAtMillis, RowStore.Read read) {
 		if (call.answered) {
 			return;
 		}
 		if (!(read instanceof RowStore.Read.Found found)) {
-			sendAgain(call);
+			resend(call);
 			return;
 		}
-		storeAnswered(askedAt);
+		recordStoreAnswer(readSentAtMillis);
 		Optional<Row> row = termRow(found.rows());
-		if (row.flatMap(TermDriver::parse).filter(call::wrote).isPresent()) {
+		if (row.flatMap(TermDriver::parse).filter(call::matches).isPresent()) {
 			call.answered = true;
-			feed(new TermEvent.Committed(call.row.commit(), row.get().version()));
+			process(new TermEvent.Committed(call.row.commit(), row.get().version()));
 		}
-		else if (this.patience.answersQuickly()) {
-			sendAgain(call);
+		else if (this.storeTimeout.answersQuickly()) {
+			resend(call);
 		}
 		else {
-			feed(new TermEvent.Delayed(call.row.commit()));
-			this.loop.after(this.patience.timeout().toMillis(), () -> overdue(call));
+			process(new TermEvent.Delayed(call.row.commit()));
+			this.loop.schedule(this.storeTimeout.timeout().toMillis(), () -> onOverdue(call));
 		}
 	}
 
-	private void sendAgain(CommitCall call) {
-		call.overdue = true;
-		feed(new TermEvent.Unanswered(call.row.commit()));
+	private void resend(CommitCall call) {
+		call.resent = true;
+		process(new TermEvent.Unanswered(call.row.commit()));
 	}
 
-	private void unanswered(CommitCall call, String why) {
-		explain(call, "unanswered", why);
-		this.patience.silent();
-		storeSilent(why + " after " + (this.loop.steadyMillis() - call.sentAt) + " ms");
-		feed(new TermEvent.Unanswered(call.row.commit()));
+	private void onUnanswered(CommitCall call, String reason) {
+		logFailedCommit(call, "unanswered", reason);
+		this.storeTimeout.onTimeout();
+		recordStoreFailure(reason + " after " + (this.loop.steadyMillis() - call.sentAtMillis) + " ms");
+		process(new TermEvent.Unanswered(call.row.commit()));
 	}
 
-	private void ended(CommitCall call, RowStore.Commit ending) {
+	private void onCommitEnded(CommitCall call, RowStore.Commit outcome) {
 		call.answered = true;
-		long number = call.row.commit();
-		if (ending instanceof RowStore.Commit.Committed committed) {
-			storeAnswered(call.sentAt);
-			feed(new TermEvent.Committed(number, committed.version()));
+		long commitNumber = call.row.commit();
+		if (outcome instanceof RowStore.Commit.Committed committed) {
+			recordStoreAnswer(call.sentAtMillis);
+			process(new TermEvent.Committed(commitNumber, committed.version()));
 		}
-		else if (ending instanceof RowStore.Commit.Conflict conflict) {
-			storeAnswered(call.sentAt);
+		else if (outcome instanceof RowStore.Commit.Conflict conflict) {
+			recordStoreAnswer(call.sentAtMillis);
 			Optional<Row> row = termRow(conflict.current());
-			feed(new TermEvent.Conflict(number, row.flatMap(TermDriver::parse), row.map(Row::version).orElse(0L)));
+			process(new TermEvent.Conflict(commitNumber, row.flatMap(TermDriver::parse),
+					row.map(Row::version).orElse(0L)));
 		}
-		else if (call.overdue) {
+		else if (call.resent) {
 			return;
 		}
-		else if (ending instanceof RowStore.Commit.Refused refused) {
-			storeSilent(refused.why());
-			explain(call, "refused", refused.why());
-			feed(new TermEvent.Refused(number));
+		else if (outcome instanceof RowStore.Commit.Refused refused) {
+			recordStoreFailure(refused.why());
+			logFailedCommit(call, "refused", refused.why());
+			process(new TermEvent.Refused(commitNumber));
 		}
-		else if (ending instanceof RowStore.Commit.Unanswered unanswered) {
-			unanswered(call, unanswered.why());
+		else if (outcome instanceof RowStore.Commit.Unanswered unanswered) {
+			onUnanswered(call, unanswered.why());
 		}
 	}
 
 	// A term ends by its commits. Which of them failed, and how large they were, is all
 	// that tells a slow store from one that turns this entry away, and from a holder that
 	// is slow itself.
-	private void explain(CommitCall call, String ending, String why) {
-		LOG.warn("term-commit-" + ending, "epoch", this.keeper.epoch(), "commit", call.row.commit(), "rows", call.rows,
-				"bytes", call.bytes, "millis", this.loop.steadyMillis() - call.sentAt, "why", why);
+	private void logFailedCommit(CommitCall call, String outcome, String reason) {
+		LOG.warn("term-commit-" + outcome, "epoch", this.manager.epoch(), "commit", call.row.commit(), "rows",
+				call.rows, "bytes", call.bytes, "millis", this.loop.steadyMillis() - call.sentAtMillis, "why", reason);
 	}
 
-	private void storeSilent(String why) {
+	private void recordStoreFailure(String reason) {
 		this.telemetry.count("term.store-failed");
-		if (this.storeAnswers) {
-			this.storeAnswers = false;
-			LOG.warn("dependency-lost", "what", "store", "why", why);
+		if (this.storeAnswering) {
+			this.storeAnswering = false;
+			LOG.warn("dependency-lost", "what", "store", "why", reason);
 		}
 	}
 
-	private void storeAnswered(long sentAt) {
-		this.patience.answered(this.loop.steadyMillis() - sentAt);
-		if (!this.storeAnswers) {
-			this.storeAnswers = true;
+	private void recordStoreAnswer(long sentAtMillis) {
+		this.storeTimeout.onAnswer(this.loop.steadyMillis() - sentAtMillis);
+		if (!this.storeAnswering) {
+			this.storeAnswering = true;
 			LOG.info("dependency-regained", "what", "store");
 		}
 	}
@@ -342,21 +345,21 @@
 
 		private final int bytes;
 
-		private final long sentAt;
+		private final long sentAtMillis;
 
 		private boolean answered;
 
 		/** Whether it was sent again meanwhile. */
-		private boolean overdue;
+		private boolean resent;
 
-		CommitCall(TermRow row, List<Write> writes, long sentAt) {
+		CommitCall(TermRow row, List<Write> writes, long sentAtMillis) {
 			this.row = row;
 			this.rows = writes.size();
 			this.bytes = writes.stream().mapToInt((write) -> write.value().map(String::length).orElse(0)).sum();
-			this.sentAt = sentAt;
+			this.sentAtMillis = sentAtMillis;
 		}
 
-		boolean wrote(TermRow found) {
+		boolean matches(TermRow found) {
 			return found.holder().equals(this.row.holder()) && found.commit() == this.row.commit();
 		}
 
@@ -367,20 +370,20 @@
 	 */
 	interface Listener {
 
-		void began(long epoch);
+		void onTermBegan(long epoch);
 
 		/**
 		 * This entry no longer decides, whether it lost the term or gave it up.
 		 * @param epoch the epoch of the term
 		 */
-		void ended(long epoch);
+		void onTermEnded(long epoch);
 
-		void saved(long sequence);
+		void onPersisted(long sequence);
 
-		void holderSeen(TermRow row);
+		void onHolderSeen(TermRow row);
 
 		/** This entry takes no term any more and holds none. */
-		void released();
+		void onReleased();
 
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 import org.almondmount.fleet.DeclarationReader;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.FleetSettings;
 import org.almondmount.fleet.JobAnswer;
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.SingleThreadEventLoop;
 import org.almondmount.fleet.Submission;
-import org.almondmount.fleet.ThreadLoop;
 import org.almondmount.fleet.entry.FleetEntry;
 import org.almondmount.fleet.target.FleetTarget;
 import org.almondmount.net.IoThreads;
@@ -54,9 +54,9 @@
 
 	private static final Duration LEASE = Duration.ofSeconds(6);
 
-	private static final WorkerIncarnation LIFE = new WorkerIncarnation("worker", 1);
+	private static final WorkerIncarnation INCARNATION = new WorkerIncarnation("worker", 1);
 
-	private static final long ANNOUNCE_MILLIS = 1_000;
+	private static final long ANNOUNCE_INTERVAL_MILLIS = 1_000;
 
 	private final IoThreads io = new IoThreads("rehearsal-io", 1);
 
@@ -70,7 +70,7 @@
 
 	private final FleetTarget target;
 
-	private final Loop targetLoop = new ThreadLoop();
+	private final EventLoop targetLoop = new SingleThreadEventLoop();
 
 	private final AtomicLong announcements = new AtomicLong();
 
@@ -82,12 +82,13 @@
 		this.store.put(TABLE, "configuration", "1");
 		this.first = entry("entry-1");
 		this.second = entry("entry-2");
-		this.target = new FleetTarget(settings("target"), new MemoryWorker(LIFE), this.store,
+		this.target = new FleetTarget(settings("target"), new MemoryWorker(INCARNATION), this.store,
 				new NettyWire(this.io, this.telemetry), this.targetLoop, new Telemetry());
 	}
 
 	private void announce() {
-		this.target.described(new WorkerDescription(LIFE, "pool", "zone", Set.of("r1-1"), CAPACITY, false, 0),
+		this.target.onWorkerDescribed(
+				new WorkerDescription(INCARNATION, "pool", "zone", Set.of("r1-1"), CAPACITY, false, 0),
 				this.announcements.incrementAndGet());
 	}
 
@@ -99,8 +100,8 @@
 		return this.first.start().thenCompose((started) -> this.second.start()).thenCompose((started) -> {
 			this.target.start();
 			announce();
-			this.targetLoop.every(ANNOUNCE_MILLIS, this::announce);
-			return this.first.configured(OptionalLong.empty());
+			this.targetLoop.scheduleRepeatedly(ANNOUNCE_INTERVAL_MILLIS, this::announce);
+			return this.first.awaitConfigured(OptionalLong.empty());
 		}).thenCompose((configured) -> {
 			this.first.submit(job("a", false), OptionalLong.empty());
 			this.second.submit(job("cancelled", false), OptionalLong.empty())
@@ -113,7 +114,7 @@
 	 * Asks where the job of the gang stands.
 	 * @return the answer
 	 */
-	public CompletableFuture<JobAnswer> phase() {
+	public CompletableFuture<JobAnswer> gangJobPhase() {
 		return this.second.phase("gang", LEASE.toMillis());
 	}
 
@@ -126,8 +127,8 @@
 	}
 
 	private FleetEntry entry(String name) throws IOException {
-		return new FleetEntry(settings(name), this.store, new Declared(), new NettyWire(this.io, this.telemetry),
-				new ThreadLoop(), new Telemetry());
+		return new FleetEntry(settings(name), this.store, new FixedDeclarations(),
+				new NettyWire(this.io, this.telemetry), new SingleThreadEventLoop(), new Telemetry());
 	}
 
 	private static FleetSettings settings(String name) throws IOException {
@@ -152,7 +153,7 @@
 	/**
 	 * One queue and one customer, whatever is declared.
 	 */
-	private static final class Declared implements DeclarationReader {
+	private static final class FixedDeclarations implements DeclarationReader {
 
 		@Override
 		public String table() {
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryStore.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryStore.java
@@ -23,16 +23,16 @@
 	public synchronized CompletableFuture<Commit> commit(List<Condition> conditions, List<Write> writes,
 			Duration timeout) {
 		List<Row> current = new ArrayList<>();
-		boolean holds = true;
+		boolean conditionsMet = true;
 		for (Condition condition : conditions) {
 			Row row = this.rows.get(key(condition.place()));
-			boolean there = row != null && row.value().isPresent();
-			holds &= (there ? row.version() : 0) == condition.version();
-			if (there) {
+			boolean present = row != null && row.value().isPresent();
+			conditionsMet &= (present ? row.version() : 0) == condition.version();
+			if (present) {
 				current.add(row);
 			}
 		}
-		if (!holds) {
+		if (!conditionsMet) {
 			return CompletableFuture.completedFuture(new Commit.Conflict(current));
 		}
 		this.version++;
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
@@ -20,49 +20,50 @@
  */
 final class MemoryWorker implements WorkerCalls {
 
-	private static final int LOOKS = 3;
+	private static final int POLLS_PER_RUN = 3;
 
-	private static final int PERCENT_A_LOOK = 30;
+	private static final int PERCENT_PER_POLL = 30;
 
-	private final WorkerIncarnation life;
+	private final WorkerIncarnation incarnation;
 
-	private final Map<WorkerCommand.Start, Integer> looks = new HashMap<>();
+	private final Map<WorkerCommand.Start, Integer> pollCounts = new HashMap<>();
 
 	private final List<Ended> ended = new ArrayList<>();
 
-	private long lastEnd;
+	private long lastEndSequence;
 
-	MemoryWorker(WorkerIncarnation life) {
-		this.life = life;
+	MemoryWorker(WorkerIncarnation incarnation) {
+		this.incarnation = incarnation;
 	}
 
 	@Override
-	public synchronized CompletableFuture<WorkerEvent> look(WorkerCommand.Look look) {
-		this.ended.removeIf((end) -> end.sequence() <= look.acknowledged());
+	public synchronized CompletableFuture<WorkerEvent> poll(WorkerCommand.Look poll) {
+		this.ended.removeIf((end) -> end.sequence() <= poll.acknowledged());
 		List<Running> running = new ArrayList<>();
-		for (WorkerCommand.Start start : List.copyOf(this.looks.keySet())) {
-			int seen = this.looks.merge(start, 1, Integer::sum);
-			if (seen > LOOKS) {
-				this.looks.remove(start);
-				this.ended.add(new Ended(++this.lastEnd, start.task(), start.run(), RunOutcome.DONE, "saved-" + seen));
+		for (WorkerCommand.Start start : List.copyOf(this.pollCounts.keySet())) {
+			int pollCount = this.pollCounts.merge(start, 1, Integer::sum);
+			if (pollCount > POLLS_PER_RUN) {
+				this.pollCounts.remove(start);
+				this.ended.add(new Ended(++this.lastEndSequence, start.task(), start.run(), RunOutcome.DONE,
+						"saved-" + pollCount));
 				continue;
 			}
-			running.add(new Running(start.task(), start.run(), "saved-" + seen, seen * PERCENT_A_LOOK));
+			running.add(new Running(start.task(), start.run(), "saved-" + pollCount, pollCount * PERCENT_PER_POLL));
 		}
 		return CompletableFuture.completedFuture(
-				new WorkerEvent.Looked(look.look(), this.life, System.currentTimeMillis(), running, this.ended));
+				new WorkerEvent.Looked(poll.look(), this.incarnation, System.currentTimeMillis(), running, this.ended));
 	}
 
 	@Override
 	public synchronized CompletableFuture<WorkerEvent.StartEnded> start(WorkerCommand.Start start) {
-		this.looks.put(start, 0);
+		this.pollCounts.put(start, 0);
 		return CompletableFuture
 			.completedFuture(new WorkerEvent.StartEnded(start.task(), start.run(), CallEnding.DONE, ""));
 	}
 
 	@Override
 	public synchronized CompletableFuture<WorkerEvent.StopEnded> stop(WorkerCommand.Stop stop) {
-		this.looks.keySet().removeIf((start) -> start.task().equals(stop.task()) && start.run() == stop.run());
+		this.pollCounts.keySet().removeIf((start) -> start.task().equals(stop.task()) && start.run() == stop.run());
 		return CompletableFuture.completedFuture(new WorkerEvent.StopEnded(stop.task(), stop.run(), CallEnding.DONE));
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 import org.almondmount.fleet.Addresses;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.FleetSettings;
-import org.almondmount.fleet.Loop;
 import org.almondmount.fleet.Tables;
 import org.almondmount.fleet.WorkerCalls;
 import org.almondmount.model.InvalidValueException;
@@ -36,23 +36,23 @@
 	private static final EventLog LOG = EventLog.of(FleetTarget.class);
 
 	/** Orders that were not carried out, by reason. */
-	private static final String IGNORED = "orders.ignored";
+	private static final String IGNORED_COMMANDS_METRIC = "orders.ignored";
 
 	/** Workers that ended without notice under what they ran. */
-	private static final String CRASHED = "workers.crashed";
+	private static final String CRASHED_WORKERS_METRIC = "workers.crashed";
 
-	private static final long TICK_MILLIS = 100;
+	private static final long TICK_INTERVAL_MILLIS = 100;
 
-	private static final long SEARCH_MILLIS = 300;
+	private static final long SEARCH_INTERVAL_MILLIS = 300;
 
 	/**
 	 * How often the entries are read while the holder is not known; reads are paid for.
 	 */
-	private static final int SEARCHES_A_READ = 5;
+	private static final int SEARCHES_PER_READ = 5;
 
-	private static final int MOST_ENTRIES = 500;
+	private static final int MAX_ENTRIES = 500;
 
-	private static final Duration ENTRIES_TIMEOUT = Duration.ofMillis(1_000);
+	private static final Duration ENTRIES_READ_TIMEOUT = Duration.ofMillis(1_000);
 
 	private final FleetSettings settings;
 
@@ -64,15 +64,15 @@
 
 	private final Telemetry telemetry;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final PeerInfo self;
 
-	private final WorkerKeeper keeper;
+	private final WorkerKeeper manager;
 
-	private final HolderSearch search;
+	private final HolderSearch holderSearch;
 
-	private int searches;
+	private int searchCount;
 
 	/**
 	 * Makes a target that does nothing before {@link #start()}.
@@ -83,7 +83,7 @@
 	 * @param loop where it decides
 	 * @param telemetry the process's metrics
 	 */
-	public FleetTarget(FleetSettings settings, WorkerCalls worker, RowStore store, WireEndpoint wire, Loop loop,
+	public FleetTarget(FleetSettings settings, WorkerCalls worker, RowStore store, WireEndpoint wire, EventLoop loop,
 			Telemetry telemetry) {
 		this.loop = loop;
 		this.settings = settings;
@@ -91,20 +91,20 @@
 		this.store = store;
 		this.wire = wire;
 		this.telemetry = telemetry;
-		telemetry.declare(IGNORED, IgnoredReason.class);
+		telemetry.declare(IGNORED_COMMANDS_METRIC, IgnoredReason.class);
 		this.self = new PeerInfo(PeerInfo.Role.TARGET, settings.name(), "", settings.zone(), Optional.empty(), 0,
 				loop.wallMillis());
-		this.search = new HolderSearch(settings.name(), this::dial);
-		this.keeper = new WorkerKeeper(settings.name(), WorkerPolicy.DEFAULT);
+		this.holderSearch = new HolderSearch(settings.name(), this::dial);
+		this.manager = new WorkerKeeper(settings.name(), WorkerPolicy.DEFAULT);
 	}
 
 	/** Begins. */
 	public void start() {
 		LOG.info("target-started", "target", this.settings.name(), "zone", this.settings.zone());
 		this.loop.start();
-		this.loop.run(this::searchHolder);
-		this.loop.every(TICK_MILLIS, () -> feed(new WorkerEvent.Tick()));
-		this.loop.every(SEARCH_MILLIS, this::searchHolder);
+		this.loop.execute(this::searchHolder);
+		this.loop.scheduleRepeatedly(TICK_INTERVAL_MILLIS, () -> process(new WorkerEvent.Tick()));
+		this.loop.scheduleRepeatedly(SEARCH_INTERVAL_MILLIS, this::searchHolder);
 	}
 
 	/**
@@ -112,16 +112,16 @@
 	 * @param description what it said
 	 * @param announcement counts what this life of the worker announces
 	 */
-	public void described(WorkerDescription description, long announcement) {
-		this.loop.run(() -> feed(new WorkerEvent.Described(description, announcement)));
+	public void onWorkerDescribed(WorkerDescription description, long announcement) {
+		this.loop.execute(() -> process(new WorkerEvent.Described(description, announcement)));
 	}
 
 	/**
 	 * The worker said that it ends now.
 	 * @param worker the worker
 	 */
-	public void left(String worker) {
-		this.loop.run(() -> feed(new WorkerEvent.Left(worker)));
+	public void onWorkerLeft(String worker) {
+		this.loop.execute(() -> process(new WorkerEvent.Left(worker)));
 	}
 
 	@Override
@@ -129,29 +129,29 @@
 		this.loop.close();
 	}
 
-	private void feed(WorkerEvent event) {
-		List<WorkerCommand> commands = new ArrayList<>(this.keeper.handle(this.loop.steadyMillis(), event));
-		commands.forEach(this::carryOut);
+	private void process(WorkerEvent event) {
+		List<WorkerCommand> commands = new ArrayList<>(this.manager.handle(this.loop.steadyMillis(), event));
+		commands.forEach(this::execute);
 	}
 
-	private void carryOut(WorkerCommand command) {
-		if (command instanceof WorkerCommand.Look look) {
-			this.loop.then(this.worker.look(look), this::feed);
+	private void execute(WorkerCommand command) {
+		if (command instanceof WorkerCommand.Look poll) {
+			this.loop.onCompletion(this.worker.poll(poll), this::process);
 		}
 		else if (command instanceof WorkerCommand.Start start) {
 			LOG.info("start-sent", "task", start.task(), "run", start.run(), "life", start.life(), "epoch",
 					start.epoch(), "leaseUntil", start.leaseUntilMillis());
 			this.telemetry.count("runs.start");
-			this.loop.then(this.worker.start(start), (ended) -> {
+			this.loop.onCompletion(this.worker.start(start), (ended) -> {
 				LOG.info("start-answered", "task", ended.task(), "run", ended.run(), "ending", ended.ending(), "why",
 						ended.why());
-				feed(ended);
+				process(ended);
 			});
 		}
 		else if (command instanceof WorkerCommand.Stop stop) {
 			this.telemetry.count("runs.stop");
 			LOG.info("stop-sent", "task", stop.task(), "run", stop.run(), "epoch", stop.epoch());
-			this.loop.then(this.worker.stop(stop), this::feed);
+			this.loop.onCompletion(this.worker.stop(stop), this::process);
 		}
 		else if (command instanceof WorkerCommand.SendHeartbeat heartbeat) {
 			send(new Message.TargetAlive(heartbeat.heartbeat()));
@@ -164,20 +164,20 @@
 			send(new Message.RunNotBegun(refused.task(), refused.run(), refused.why()));
 		}
 		else if (command instanceof WorkerCommand.IgnoreOrder ignored) {
-			this.telemetry.count(IGNORED, ignored.why());
+			this.telemetry.count(IGNORED_COMMANDS_METRIC, ignored.why());
 			LOG.info("order-ignored", "order", ignored.order(), "task", ignored.task(), "run", ignored.run(), "epoch",
 					ignored.epoch(), "why", ignored.why());
 		}
 		else if (command instanceof WorkerCommand.CountCrash crash) {
-			crashed(crash);
+			recordCrash(crash);
 		}
-		else if (command instanceof WorkerCommand.Explain explain) {
-			LOG.info(explain.event(), explain.keysAndValues());
+		else if (command instanceof WorkerCommand.Explain decision) {
+			LOG.info(decision.event(), decision.keysAndValues());
 		}
 	}
 
-	private void crashed(WorkerCommand.CountCrash crash) {
-		this.telemetry.count(CRASHED);
+	private void recordCrash(WorkerCommand.CountCrash crash) {
+		this.telemetry.count(CRASHED_WORKERS_METRIC);
 		for (WorkerReport.Crashed run : crash.runs()) {
 			LOG.warn("worker-crashed-under", "task", run.task(), "run", run.run(), "life", run.incarnation(),
 					"ageMillis", run.observedRunMillis(), "runs", crash.runs().size());
@@ -185,35 +185,36 @@
 	}
 
 	private void send(Message message) {
-		this.search.holder().ifPresent((connection) -> connection.send(message));
+		this.holderSearch.holder().ifPresent((connection) -> connection.send(message));
 	}
 
 	private void searchHolder() {
-		if (this.search.holder().isPresent()) {
-			this.searches = 0;
+		if (this.holderSearch.holder().isPresent()) {
+			this.searchCount = 0;
 			return;
 		}
-		if (this.searches++ % SEARCHES_A_READ == 0) {
-			this.loop.then(this.store.read(Tables.ENTRIES, "", MOST_ENTRIES, ENTRIES_TIMEOUT), this::read);
+		if (this.searchCount++ % SEARCHES_PER_READ == 0) {
+			this.loop.onCompletion(this.store.read(Tables.ENTRIES, "", MAX_ENTRIES, ENTRIES_READ_TIMEOUT),
+					this::onEntriesRead);
 		}
-		this.search.search();
+		this.holderSearch.dialNextEntries();
 	}
 
-	private void read(RowStore.Read read) {
+	private void onEntriesRead(RowStore.Read read) {
 		if (read instanceof RowStore.Read.Found found) {
 			List<String> addresses = new ArrayList<>();
 			found.rows().forEach((row) -> row.value().ifPresent(addresses::add));
-			this.search.only(addresses);
-			this.search.search();
+			this.holderSearch.replaceAddresses(addresses);
+			this.holderSearch.dialNextEntries();
 		}
 	}
 
 	private void dial(String address) {
 		try {
-			this.wire.dial(Addresses.parse(address), this.self, this.settings.peer(), new Listener())
+			this.wire.dial(Addresses.parse(address), this.self, this.settings.peerSettings(), new Listener())
 				.whenComplete((connection, failure) -> {
 					if (failure != null) {
-						this.loop.run(() -> this.search.dialFailed(address));
+						this.loop.execute(() -> this.holderSearch.dialFailed(address));
 					}
 				});
 		}
@@ -222,58 +223,58 @@
 		}
 	}
 
-	private void received(PeerConnection connection, Message message) {
-		if (message instanceof Message.EntryHeartbeat word) {
-			holderWord(connection, word);
+	private void onMessage(PeerConnection connection, Message message) {
+		if (message instanceof Message.EntryHeartbeat heartbeat) {
+			onEntryHeartbeat(connection, heartbeat);
 		}
-		else if (message instanceof Message.HolderIs is) {
-			if (this.search.holder().isEmpty()) {
-				this.search.dial(is.address());
+		else if (message instanceof Message.HolderIs announcement) {
+			if (this.holderSearch.holder().isEmpty()) {
+				this.holderSearch.dial(announcement.address());
 			}
 		}
-		else if (this.search.holder().filter((one) -> one == connection).isPresent()) {
-			ordered(message);
+		else if (this.holderSearch.holder().filter((current) -> current == connection).isPresent()) {
+			onHolderMessage(message);
 		}
 	}
 
-	private void holderWord(PeerConnection connection, Message.EntryHeartbeat word) {
-		if (word.holder()) {
-			if (this.search.holds(connection, word.epoch())) {
-				LOG.info("holder-found", "entry", connection.peer().name(), "epoch", word.epoch());
-				feed(new WorkerEvent.HolderFound(word.epoch()));
+	private void onEntryHeartbeat(PeerConnection connection, Message.EntryHeartbeat heartbeat) {
+		if (heartbeat.holder()) {
+			if (this.holderSearch.onHolderAnnounced(connection, heartbeat.epoch())) {
+				LOG.info("holder-found", "entry", connection.peer().name(), "epoch", heartbeat.epoch());
+				process(new WorkerEvent.HolderFound(heartbeat.epoch()));
 			}
 		}
-		else if (this.search.holdsNot(connection)) {
-			holderGone("it gave up the term");
+		else if (this.holderSearch.onNotHolder(connection)) {
+			onHolderLost("it gave up the term");
 		}
 	}
 
-	private void ordered(Message message) {
+	private void onHolderMessage(Message message) {
 		if (message instanceof Message.LeaseGranted granted) {
-			this.search.learnt(granted.entries());
-			feed(new WorkerEvent.Granted(granted.epoch(), granted.heartbeat(), granted.leaseMillis()));
+			this.holderSearch.addAddresses(granted.entries());
+			process(new WorkerEvent.Granted(granted.epoch(), granted.heartbeat(), granted.leaseMillis()));
 		}
 		else if (message instanceof Message.RunStart start) {
-			feed(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.life(), start.task(), start.run(),
-					start.program(), start.checkpoint(), start.capacity()));
+			process(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.life(), start.task(),
+					start.run(), start.program(), start.checkpoint(), start.capacity()));
 		}
 		else if (message instanceof Message.RunStop stop) {
-			feed(new WorkerEvent.StopOrdered(stop.epoch(), stop.life(), stop.task(), stop.run()));
+			process(new WorkerEvent.StopOrdered(stop.epoch(), stop.life(), stop.task(), stop.run()));
 		}
-		else if (message instanceof Message.EndsKept kept) {
-			feed(new WorkerEvent.EndsKept(kept.epoch(), kept.life(), kept.upTo()));
+		else if (message instanceof Message.EndsKept recorded) {
+			process(new WorkerEvent.EndsKept(recorded.epoch(), recorded.life(), recorded.upTo()));
 		}
 	}
 
-	private void closed(PeerConnection connection, CloseReason reason) {
-		if (this.search.closed(connection)) {
-			holderGone(reason.word());
+	private void onDisconnected(PeerConnection connection, CloseReason reason) {
+		if (this.holderSearch.onDisconnected(connection)) {
+			onHolderLost(reason.word());
 		}
 	}
 
-	private void holderGone(String why) {
-		LOG.warn("dependency-lost", "what", "holder", "why", why);
-		feed(new WorkerEvent.HolderGone());
+	private void onHolderLost(String reason) {
+		LOG.warn("dependency-lost", "what", "holder", "why", reason);
+		process(new WorkerEvent.HolderGone());
 		searchHolder();
 	}
 
@@ -284,19 +285,19 @@
 
 		@Override
 		public void opened(PeerConnection connection) {
-			FleetTarget.this.loop.run(() -> FleetTarget.this.search.opened(connection));
+			FleetTarget.this.loop.execute(() -> FleetTarget.this.holderSearch.onConnected(connection));
 		}
 
 		@Override
 		public void received(PeerConnection connection, Message message) {
-			if (!FleetTarget.this.loop.run(() -> FleetTarget.this.received(connection, message))) {
+			if (!FleetTarget.this.loop.execute(() -> FleetTarget.this.onMessage(connection, message))) {
 				connection.close(CloseReason.LOCAL);
 			}
 		}
 
 		@Override
 		public void closed(PeerConnection connection, CloseReason reason) {
-			FleetTarget.this.loop.run(() -> FleetTarget.this.closed(connection, reason));
+			FleetTarget.this.loop.execute(() -> FleetTarget.this.onDisconnected(connection, reason));
 		}
 
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
@@ -27,33 +27,33 @@
 final class HolderSearch {
 
 	/** So that one that is gone or knows nothing does not cost a turn. */
-	private static final int FIRST_DIALLED = 2;
+	private static final int INITIAL_DIAL_COUNT = 2;
 
 	/**
 	 * Turns until one more entry is dialled: somewhat longer than an entry that reaches
 	 * the others takes to hear of a holder.
 	 */
-	private static final int TURNS_TO_ONE_MORE = 2;
+	private static final int ROUNDS_PER_EXTRA_DIAL = 2;
 
 	private final Consumer<String> dialler;
 
 	/** Decides with which entry this target begins. */
-	private final int place;
+	private final int startOffset;
 
-	private final Set<String> known = new TreeSet<>();
+	private final Set<String> knownAddresses = new TreeSet<>();
 
 	private final Set<String> dialling = new LinkedHashSet<>();
 
-	private final Map<String, PeerConnection> open = new HashMap<>();
+	private final Map<String, PeerConnection> openConnections = new HashMap<>();
 
 	private Optional<PeerConnection> holder = Optional.empty();
 
 	private long epoch;
 
-	private int turns;
+	private int roundCount;
 
 	HolderSearch(String target, Consumer<String> dialler) {
-		this.place = target.hashCode();
+		this.startOffset = target.hashCode();
 		this.dialler = dialler;
 	}
 
@@ -65,43 +65,43 @@
 	 * Takes note of entries.
 	 * @param addresses their addresses
 	 */
-	void learnt(List<String> addresses) {
-		this.known.addAll(addresses);
+	void addAddresses(List<String> addresses) {
+		this.knownAddresses.addAll(addresses);
 	}
 
 	// Forgets entries that are no longer named; those that are connected stay.
-	void only(List<String> addresses) {
+	void replaceAddresses(List<String> addresses) {
 		if (!addresses.isEmpty()) {
-			this.known.retainAll(addresses);
-			this.known.addAll(addresses);
+			this.knownAddresses.retainAll(addresses);
+			this.knownAddresses.addAll(addresses);
 		}
 	}
 
 	/** Takes a turn of the search while the holder is not known. */
-	void search() {
+	void dialNextEntries() {
 		if (this.holder.isPresent()) {
 			return;
 		}
-		int wanted = FIRST_DIALLED + this.turns++ / TURNS_TO_ONE_MORE;
-		for (String address : inOwnOrder()) {
-			if (this.open.size() + this.dialling.size() >= wanted) {
+		int targetCount = INITIAL_DIAL_COUNT + this.roundCount++ / ROUNDS_PER_EXTRA_DIAL;
+		for (String address : rotatedAddresses()) {
+			if (this.openConnections.size() + this.dialling.size() >= targetCount) {
 				return;
 			}
 			dial(address);
 		}
 	}
 
-	private List<String> inOwnOrder() {
-		List<String> order = new ArrayList<>(this.known);
+	private List<String> rotatedAddresses() {
+		List<String> order = new ArrayList<>(this.knownAddresses);
 		if (!order.isEmpty()) {
-			Collections.rotate(order, Math.floorMod(this.place, order.size()));
+			Collections.rotate(order, Math.floorMod(this.startOffset, order.size()));
 		}
 		return order;
 	}
 
 	void dial(String address) {
-		this.known.add(address);
-		if (!this.open.containsKey(address) && this.dialling.add(address)) {
+		this.knownAddresses.add(address);
+		if (!this.openConnections.containsKey(address) && this.dialling.add(address)) {
 			this.dialler.accept(address);
 		}
 	}
@@ -110,12 +110,12 @@
 		this.dialling.remove(address);
 	}
 
-	void opened(PeerConnection connection) {
+	void onConnected(PeerConnection connection) {
 		String address = connection.peer().address();
 		this.dialling.remove(address);
-		PeerConnection before = this.open.put(address, connection);
-		if (before != null) {
-			before.close(CloseReason.REPLACED);
+		PeerConnection previous = this.openConnections.put(address, connection);
+		if (previous != null) {
+			previous.close(CloseReason.REPLACED);
 		}
 	}
 
@@ -124,30 +124,30 @@
 	 * @param connection the connection
 	 * @return whether it was the holder's
 	 */
-	boolean closed(PeerConnection connection) {
-		this.open.remove(connection.peer().address(), connection);
-		boolean was = this.holder.map((one) -> one == connection).orElse(false);
-		if (was) {
+	boolean onDisconnected(PeerConnection connection) {
+		this.openConnections.remove(connection.peer().address(), connection);
+		boolean wasHolder = this.holder.map((current) -> current == connection).orElse(false);
+		if (wasHolder) {
 			this.holder = Optional.empty();
 		}
-		return was;
+		return wasHolder;
 	}
 
 	/**
 	 * An entry says that it holds the term.
 	 * @param connection its connection
-	 * @param heldEpoch the epoch
+	 * @param announcedEpoch the epoch
 	 * @return whether it is the holder from now on
 	 */
-	boolean holds(PeerConnection connection, long heldEpoch) {
-		boolean current = this.open.get(connection.peer().address()) == connection;
-		if (!current || heldEpoch < this.epoch) {
+	boolean onHolderAnnounced(PeerConnection connection, long announcedEpoch) {
+		boolean current = this.openConnections.get(connection.peer().address()) == connection;
+		if (!current || announcedEpoch < this.epoch) {
 			return false;
 		}
-		this.epoch = heldEpoch;
-		this.turns = 0;
+		this.epoch = announcedEpoch;
+		this.roundCount = 0;
 		this.holder = Optional.of(connection);
-		List<PeerConnection> others = new ArrayList<>(this.open.values());
+		List<PeerConnection> others = new ArrayList<>(this.openConnections.values());
 		others.remove(connection);
 		others.forEach((other) -> other.close(CloseReason.LOCAL));
 		return true;
@@ -158,8 +158,8 @@
 	 * @param connection its connection
 	 * @return whether it was the holder until now
 	 */
-	boolean holdsNot(PeerConnection connection) {
-		if (this.holder.map((one) -> one == connection).orElse(false)) {
+	boolean onNotHolder(PeerConnection connection) {
+		if (this.holder.map((current) -> current == connection).orElse(false)) {
 			this.holder = Optional.empty();
 			return true;
 		}
--- a/fleet/src/test/java/org/almondmount/fleet/StorePatienceTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/StorePatienceTests.java
@@ -6,7 +6,7 @@
 
 class StorePatienceTests {
 
-	private final StorePatience patience = new StorePatience();
+	private final AdaptiveStoreTimeout patience = new AdaptiveStoreTimeout();
 
 	// All entries were started anew at the same time. The first answer takes 200 ms, most
 	// of it in the process itself; callers were refused because it had been given up.
@@ -31,26 +31,26 @@
 	@Test
 	void eachSilenceDoublesTheTime() {
 		answers(20, 4);
-		this.patience.silent();
+		this.patience.onTimeout();
 		assertThat(this.patience.timeout().toMillis()).isEqualTo(300);
-		this.patience.silent();
+		this.patience.onTimeout();
 		assertThat(this.patience.timeout().toMillis()).isEqualTo(600);
 	}
 
 	@Test
 	void silenceIsExpectedUntilAnAnswer() {
-		assertThat(this.patience.expectsSilence()).isFalse();
-		this.patience.silent();
-		assertThat(this.patience.expectsSilence()).isTrue();
-		this.patience.silent();
-		assertThat(this.patience.expectsSilence()).isTrue();
-		this.patience.answered(4);
-		assertThat(this.patience.expectsSilence()).isFalse();
+		assertThat(this.patience.isSilenceExpected()).isFalse();
+		this.patience.onTimeout();
+		assertThat(this.patience.isSilenceExpected()).isTrue();
+		this.patience.onTimeout();
+		assertThat(this.patience.isSilenceExpected()).isTrue();
+		this.patience.onAnswer(4);
+		assertThat(this.patience.isSilenceExpected()).isFalse();
 	}
 
 	private void answers(int count, long millis) {
 		for (int i = 0; i < count; i++) {
-			this.patience.answered(millis);
+			this.patience.onAnswer(millis);
 		}
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/entry/IntakeAttemptTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/entry/IntakeAttemptTests.java
@@ -17,16 +17,16 @@
 	void aJobIsPassedOnToAFewEntriesEachOnce() {
 		IntakeAttempt attempt = attempt(false);
 		for (String address : List.of("a:1", "b:1", "c:1")) {
-			assertThat(attempt.mayAskPeer(address)).isTrue();
-			attempt.peerAsked(address);
-			assertThat(attempt.mayAskPeer(address)).isFalse();
+			assertThat(attempt.mayForwardTo(address)).isTrue();
+			attempt.markForwardedTo(address);
+			assertThat(attempt.mayForwardTo(address)).isFalse();
 		}
-		assertThat(attempt.mayAskPeer("d:1")).isFalse();
+		assertThat(attempt.mayForwardTo("d:1")).isFalse();
 	}
 
 	@Test
 	void aJobThatCameFromAnotherEntryIsNotPassedOn() {
-		assertThat(attempt(true).mayAskPeer("a:1")).isFalse();
+		assertThat(attempt(true).mayForwardTo("a:1")).isFalse();
 	}
 
 	private static IntakeAttempt attempt(boolean forPeer) {
--- a/fleet/src/test/java/org/almondmount/fleet/rehearsal/FleetRehearsalTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/rehearsal/FleetRehearsalTests.java
@@ -20,7 +20,7 @@
 			assertThat(rehearsal.start().get()).isEqualTo(new Submission.Accepted());
 			Awaitility.await()
 				.atMost(Duration.ofSeconds(20))
-				.until(() -> rehearsal.phase().get().equals(new JobAnswer.Known(JobPhase.COMPLETED)));
+				.until(() -> rehearsal.gangJobPhase().get().equals(new JobAnswer.Known(JobPhase.COMPLETED)));
 		}
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/FleetWorld.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/FleetWorld.java
@@ -497,7 +497,7 @@
 
 		private void announce() {
 			if (!dead() && !this.worker.away()) {
-				this.target.described(this.worker.describe(), FleetWorld.this.time.now());
+				this.target.onWorkerDescribed(this.worker.describe(), FleetWorld.this.time.now());
 			}
 			FleetWorld.this.time.after(ANNOUNCE_MILLIS, this::announce);
 		}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/LostAcknowledgementTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/LostAcknowledgementTests.java
@@ -31,7 +31,7 @@
 		world.targets().get(0).kill();
 		world.runFor(10_000);
 		SimWorker worker = world.targets().get(0).worker();
-		CompletableFuture<WorkerEvent> look = worker.look(new WorkerCommand.Look(1, worker.life(), 0, 0, 0, 0));
+		CompletableFuture<WorkerEvent> look = worker.poll(new WorkerCommand.Look(1, worker.life(), 0, 0, 0, 0));
 		world.runFor(10);
 		assertThat(((WorkerEvent.Looked) look.join()).ended()).isEmpty();
 	}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -181,7 +181,7 @@
 	}
 
 	@Override
-	public CompletableFuture<WorkerEvent> look(WorkerCommand.Look look) {
+	public CompletableFuture<WorkerEvent> poll(WorkerCommand.Look look) {
 		CompletableFuture<WorkerEvent> answer = new CompletableFuture<>();
 		boolean other = !look.life().worker().isEmpty() && !look.life().worker().equals(this.name);
 		if (away()) {
--- a/fleet/src/test/java/org/almondmount/fleet/sim/VirtualLoop.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/VirtualLoop.java
@@ -4,13 +4,13 @@
 import java.util.Deque;
 import java.util.function.LongSupplier;
 
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.EventLoop;
 
 /**
  * The loop of one simulated process; it can be paused and killed, and be busy for a while
  * after each thing that it did.
  */
-final class VirtualLoop implements Loop {
+final class VirtualLoop implements EventLoop {
 
 	private final VirtualTime time;
 
@@ -74,24 +74,24 @@
 	}
 
 	@Override
-	public boolean run(Runnable work) {
+	public boolean execute(Runnable work) {
 		this.time.after(0, () -> now(work));
 		return true;
 	}
 
 	@Override
-	public void every(long everyMillis, Runnable work) {
+	public void scheduleRepeatedly(long everyMillis, Runnable work) {
 		this.time.after(everyMillis, () -> {
 			if (this.dead) {
 				return;
 			}
 			now(work);
-			every(everyMillis, work);
+			scheduleRepeatedly(everyMillis, work);
 		});
 	}
 
 	@Override
-	public void after(long delayMillis, Runnable work) {
+	public void schedule(long delayMillis, Runnable work) {
 		this.time.after(delayMillis, () -> now(work));
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/target/HolderSearchTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/target/HolderSearchTests.java
@@ -25,7 +25,7 @@
 	void targetsThatStartTogetherAreSpreadOverTheEntries() {
 		Map<String, Integer> dials = new HashMap<>();
 		for (int target = 0; target < TARGETS; target++) {
-			search("target-" + target).search();
+			search("target-" + target).dialNextEntries();
 		}
 		this.dialled.forEach((address) -> dials.merge(address, 1, Integer::sum));
 		assertThat(this.dialled).hasSize(2 * TARGETS);
@@ -37,7 +37,7 @@
 	void everyEntryIsDialledInTheEnd() {
 		HolderSearch search = search("target");
 		for (int turn = 0; turn < 4 * ENTRIES; turn++) {
-			search.search();
+			search.dialNextEntries();
 		}
 		assertThat(this.dialled).doesNotHaveDuplicates().hasSize(ENTRIES);
 	}
@@ -45,11 +45,11 @@
 	@Test
 	void anEntryThatDoesNotAnswerTheDialMakesRoomForAnother() {
 		HolderSearch search = search("target");
-		search.search();
+		search.dialNextEntries();
 		List<String> first = List.copyOf(this.dialled);
 		first.forEach(search::dialFailed);
-		search.only(others(first));
-		search.search();
+		search.replaceAddresses(others(first));
+		search.dialNextEntries();
 		assertThat(this.dialled).hasSize(4).doesNotHaveDuplicates();
 	}
 
@@ -57,14 +57,14 @@
 	@Test
 	void aHolderThatIsNamedIsDialledAtOnce() {
 		HolderSearch search = search("target");
-		search.search();
+		search.dialNextEntries();
 		search.dial("10.0.0.99:7700");
 		assertThat(this.dialled).contains("10.0.0.99:7700");
 	}
 
 	private HolderSearch search(String target) {
 		HolderSearch search = new HolderSearch(target, this.dialled::add);
-		search.learnt(others(List.of()));
+		search.addAddresses(others(List.of()));
 		return search;
 	}
 
