--- a/fleet/src/main/java/org/almondmount/fleet/AdaptiveStoreTimeout.java
+++ b/fleet/src/main/java/org/almondmount/fleet/AdaptiveStoreTimeout.java
@@ -3,26 +3,35 @@
 import java.time.Duration;
 
 /**
- * How long a process waits for the store, learnt from how long it took. Not thread-safe:
- * belongs to one loop.
+ * Adapts the timeout of store calls to the time that recent answers took, and tracks
+ * whether the store answers. Not thread-safe: confined to one event loop.
  * <p>
- * A lost answer is found out by waiting. With a fixed time either a lost answer costs a
- * second, or a store that has become slow is never waited for: every call would be given
- * up and sent again, which makes it slower still. So the time follows the answers and
- * doubles with each one that does not come.
+ * A lost answer is detected only by a timeout. With a fixed timeout either a lost answer
+ * costs a second, or the answers of a store that has become slow are never awaited: every
+ * call would time out and be sent again, which slows the store down further. So the
+ * timeout follows the average duration of answers and doubles with each missing answer.
  */
 public final class AdaptiveStoreTimeout {
 
-	/** Nothing shorter: a process may be held up itself for so long, in milliseconds. */
+	/**
+	 * Lower bound in milliseconds: the process itself may pause for this long.
+	 */
 	private static final double MIN_TIMEOUT_MILLIS = 150;
 
-	/** Nothing longer: half of the three seconds that most callers give. */
+	/**
+	 * Upper bound in milliseconds: at most half of the three seconds that most callers
+	 * allow.
+	 */
 	private static final double MAX_TIMEOUT_MILLIS = 1_200;
 
-	/** Answers come within six times the usual but for one in some thousand. */
+	/**
+	 * All but one in some thousand answers arrive within six times the average.
+	 */
 	private static final double AVERAGE_MULTIPLIER = 6;
 
-	/** A slow store takes longer for an answer, in milliseconds. */
+	/**
+	 * Longest duration of an answer of a store that is not slow, in milliseconds.
+	 */
 	private static final long MAX_QUICK_ANSWER_MILLIS = 100;
 
 	private static final double SMOOTHING_FACTOR = 0.3;
@@ -30,9 +39,9 @@
 	private static final int MAX_DOUBLINGS = 3;
 
 	/**
-	 * What is expected before the first answers, in milliseconds. A process that has just
-	 * started is slow itself: its first answers took up to 200 ms, and one given up too
-	 * early makes it refuse callers.
+	 * Assumed average before the first answers, in milliseconds. A process that has just
+	 * started is slow itself: its first answers take up to 200 ms, and a call that times
+	 * out too early makes it refuse callers.
 	 */
 	private static final double INITIAL_AVERAGE_MILLIS = 100;
 
@@ -48,16 +57,16 @@
 	};
 
 	/**
-	 * How long an answer is of any use.
-	 * @return the longest that {@link #timeout()} becomes
+	 * Returns the time after which an answer is of no more use.
+	 * @return the upper bound of {@link #timeout()}
 	 */
 	public static Duration maxTimeout() {
 		return Duration.ofMillis((long) MAX_TIMEOUT_MILLIS);
 	}
 
 	/**
-	 * How long to wait for the next answer.
-	 * @return the time
+	 * Returns how long to wait for the next answer.
+	 * @return the timeout
 	 */
 	public Duration timeout() {
 		double millis = Math.max(MIN_TIMEOUT_MILLIS, this.averageMillis * AVERAGE_MULTIPLIER)
@@ -66,8 +75,8 @@
 	}
 
 	/**
-	 * An answer came.
-	 * @param durationMillis after which time
+	 * Records an answer.
+	 * @param durationMillis how long it took
 	 */
 	public void onAnswer(long durationMillis) {
 		this.averageMillis += SMOOTHING_FACTOR * (durationMillis - this.averageMillis);
@@ -77,23 +86,25 @@
 	}
 
 	/**
-	 * Whether the last answer came soon, so that the store is not slow, and a write that
-	 * it has not answered is lost.
-	 * @return whether it did
+	 * Whether the last answer arrived quickly. Then the store is not slow, and a write
+	 * without an answer is lost.
+	 * @return whether the last answer arrived quickly
 	 */
 	public boolean answersQuickly() {
 		return this.lastAnswerQuick;
 	}
 
 	/**
-	 * Has something done each time a store that answered falls silent.
-	 * @param listener what to do
+	 * Sets the listener that is called each time a store that answered stops answering.
+	 * @param listener the listener
 	 */
 	public void onSilence(Runnable listener) {
 		this.onSilence = listener;
 	}
 
-	/** No answer came. */
+	/**
+	 * Records a call without an answer.
+	 */
 	public void onTimeout() {
 		this.consecutiveTimeouts = Math.min(MAX_DOUBLINGS, this.consecutiveTimeouts + 1);
 		boolean wasAnswering = this.answering;
@@ -104,16 +115,16 @@
 	}
 
 	/**
-	 * Another process waits for an answer in vain, so that the next one here is doubtful
-	 * too.
+	 * Records that the store does not answer another process, so that an answer to the
+	 * next call of this one is doubtful too.
 	 */
 	public void onPeerSilence() {
 		this.answering = false;
 	}
 
 	/**
-	 * Whether a call would probably not be answered: the last one was not.
-	 * @return whether calls had better not be sent
+	 * Whether a call would probably get no answer, because the last one got none.
+	 * @return whether calls should be avoided
 	 */
 	public boolean isSilenceExpected() {
 		return !this.answering;
--- a/fleet/src/main/java/org/almondmount/fleet/Addresses.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Addresses.java
@@ -5,7 +5,7 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * Addresses as text, without name lookups.
+ * Parses addresses without name lookups.
  */
 public final class Addresses {
 
@@ -13,10 +13,10 @@
 	}
 
 	/**
-	 * Reads an address.
+	 * Parses an address.
 	 * @param text {@code ip:port}
 	 * @return the address
-	 * @throws InvalidValueException where the text is none
+	 * @throws InvalidValueException if the text is not an address
 	 */
 	public static InetSocketAddress parse(String text) {
 		int colon = text.lastIndexOf(':');
--- a/fleet/src/main/java/org/almondmount/fleet/DeclarationReader.java
+++ b/fleet/src/main/java/org/almondmount/fleet/DeclarationReader.java
@@ -7,26 +7,26 @@
 import org.almondmount.workflow.FleetConfiguration;
 
 /**
- * Reads what operators declare, as a platform writes it. Stateless.
+ * Reads the configuration that operators declare, in the format of a platform. Stateless.
  */
 public interface DeclarationReader {
 
 	/**
-	 * The table in which operators declare it.
+	 * Returns the table in which operators declare the configuration.
 	 * @return the table's name
 	 */
 	String table();
 
 	/**
-	 * Queues and customers.
+	 * Reads the queues and customers.
 	 * @param rows the rows of the table by their keys
-	 * @return what they declare, or empty where nothing is declared yet
-	 * @throws org.almondmount.model.InvalidValueException where it can't be read
+	 * @return the configuration, or empty if none is declared yet
+	 * @throws org.almondmount.model.InvalidValueException if the rows can't be read
 	 */
 	Optional<FleetConfiguration> configuration(Map<String, String> rows);
 
 	/**
-	 * The zones that are out of service.
+	 * Reads the zones that are out of service.
 	 * @param rows the rows of the table by their keys
 	 * @return the zones
 	 */
--- a/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
@@ -6,51 +6,53 @@
 import org.almondmount.telemetry.EventLog;
 
 /**
- * Where a process decides, one thing after the other, with its clocks and alarms.
+ * Runs the tasks of a process one after the other, and provides its clocks and timers.
  */
 public interface EventLoop extends AutoCloseable {
 
-	/** Begins to take work. */
+	/**
+	 * Starts to run tasks.
+	 */
 	void start();
 
 	/**
-	 * A clock that never jumps.
-	 * @return milliseconds since some moment
+	 * Returns the time of a monotonic clock.
+	 * @return milliseconds since an arbitrary origin
 	 */
 	long steadyMillis();
 
 	/**
-	 * The time of day, which may jump; for due times alone.
+	 * Returns the time of day, which may jump; used for due times only.
 	 * @return milliseconds since 1970
 	 */
 	long wallMillis();
 
 	/**
-	 * Has something done in its turn.
-	 * @param task what to do
-	 * @return false when too much waits; then it is not done
+	 * Runs a task on the event loop.
+	 * @param task the task
+	 * @return false if the queue is full and the task was rejected
 	 */
 	boolean execute(Runnable task);
 
 	/**
-	 * Has something done again and again.
+	 * Runs a task repeatedly.
 	 * @param intervalMillis the interval
-	 * @param task what to do
+	 * @param task the task
 	 */
 	void scheduleRepeatedly(long intervalMillis, Runnable task);
 
 	/**
-	 * Has something done later.
-	 * @param delayMillis after which time
-	 * @param task what to do
+	 * Runs a task after a delay.
+	 * @param delayMillis the delay
+	 * @param task the task
 	 */
 	void schedule(long delayMillis, Runnable task);
 
 	/**
-	 * Has the outcome of something taken in its turn.
-	 * @param future completes elsewhere, never exceptionally
-	 * @param consumer takes the value
-	 * @param <T> the value
+	 * Passes the value of a future to a consumer on the event loop.
+	 * @param future completed by any thread, never exceptionally
+	 * @param consumer receives the value
+	 * @param <T> the type of the value
 	 */
 	default <T> void onCompletion(CompletableFuture<T> future, Consumer<T> consumer) {
 		future.whenComplete((value, failure) -> {
--- a/fleet/src/main/java/org/almondmount/fleet/FleetSettings.java
+++ b/fleet/src/main/java/org/almondmount/fleet/FleetSettings.java
@@ -9,25 +9,27 @@
 import org.almondmount.workflow.SchedulerFeature;
 
 /**
- * What an entry or a target has to know of its installation. Immutable.
+ * Settings of an entry or a target. Immutable.
  *
- * @param name this VM's name
- * @param zone its availability zone
- * @param peerListenAddress where it accepts peers
- * @param sharedKey the secret of this installation
- * @param leaseDuration for how long workers go on without a word of the holder
- * @param termLength how long a term goes on after its last commit
- * @param drainTimeout time for an orderly end
- * @param stopTimeout how long a worker takes at most to end a run
- * @param endedJobRetention how long callers can ask for a job that has ended
- * @param checkpointing how workers keep the progress of tasks
- * @param features what the scheduler does beyond its promises
+ * @param name name of this VM
+ * @param zone availability zone of this VM
+ * @param peerListenAddress address on which peers are accepted
+ * @param sharedKey secret shared by the processes of this installation
+ * @param leaseDuration how long workers continue without contact to the holder
+ * @param termLength how long a term remains valid after its last commit
+ * @param drainTimeout time for an orderly shutdown
+ * @param stopTimeout longest time that a worker takes to stop a run
+ * @param endedJobRetention how long callers can query a job that has ended
+ * @param checkpointing how workers store the progress of tasks
+ * @param features optional features of the scheduler
  */
 public record FleetSettings(String name, String zone, InetSocketAddress peerListenAddress, String sharedKey,
 		Duration leaseDuration, Duration termLength, Duration drainTimeout, Duration stopTimeout,
 		Duration endedJobRetention, Checkpointing checkpointing, Set<SchedulerFeature> features) {
 
-	/** Two words of a peer may be missing before its connection counts as dead. */
+	/**
+	 * A connection is considered dead only after two heartbeats of the peer are missing.
+	 */
 	private static final Duration PEER_SILENCE_TIMEOUT = Duration.ofMillis(2_500);
 
 	private static final Duration HANDSHAKE_TIMEOUT = Duration.ofMillis(1_500);
@@ -48,7 +50,7 @@
 	}
 
 	/**
-	 * Where peers reach this process, as it is told to others.
+	 * Returns the address at which peers reach this process, as announced to others.
 	 * @return {@code ip:port}
 	 */
 	public String peerAddress() {
--- a/fleet/src/main/java/org/almondmount/fleet/JobAnswer.java
+++ b/fleet/src/main/java/org/almondmount/fleet/JobAnswer.java
@@ -3,15 +3,15 @@
 import org.almondmount.workflow.JobPhase;
 
 /**
- * What an entry can say of a job.
+ * Answer of an entry to a query about a job.
  */
 public sealed interface JobAnswer {
 
 	/**
-	 * Where the job stands.
+	 * The state of the job.
 	 *
-	 * @param phase its phase
-	 * @param reason why it was given up, or empty
+	 * @param phase phase of the job
+	 * @param reason why the job failed, or empty
 	 */
 	record Known(JobPhase phase, String reason) implements JobAnswer {
 
@@ -21,7 +21,9 @@
 
 	}
 
-	/** There is no such job. */
+	/**
+	 * The job does not exist.
+	 */
 	record NoSuchJob() implements JobAnswer {
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/SingleThreadEventLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/SingleThreadEventLoop.java
@@ -9,8 +9,8 @@
 import org.almondmount.telemetry.EventLog;
 
 /**
- * A loop on a thread of its own. Thread-safe: whatever arrives elsewhere is handed over
- * through a bounded ring.
+ * An event loop with a thread of its own. Thread-safe: tasks of other threads are passed
+ * on through a bounded ring buffer.
  */
 public final class SingleThreadEventLoop implements EventLoop {
 
--- a/fleet/src/main/java/org/almondmount/fleet/Submission.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Submission.java
@@ -5,27 +5,29 @@
 import org.almondmount.intake.IntakeRefusal;
 
 /**
- * What became of a job that was handed in.
+ * Outcome of the submission of a job.
  */
 public sealed interface Submission {
 
-	/** It is kept and will run. */
+	/**
+	 * The job is stored and will run.
+	 */
 	record Accepted() implements Submission {
 	}
 
 	/**
-	 * It was not kept and never will be.
+	 * The job is not stored and never will be.
 	 *
 	 * @param reason the reason
-	 * @param retryAfter when its caller may come back
+	 * @param retryAfter when the caller may retry
 	 */
 	record Refused(IntakeRefusal reason, Duration retryAfter) implements Submission {
 	}
 
 	/**
-	 * Nobody can tell yet; handing the same job in again settles it.
+	 * The outcome is unknown; submitting the same job again resolves it.
 	 *
-	 * @param retryAfter when its caller may come back
+	 * @param retryAfter when the caller may retry
 	 */
 	record Unsettled(Duration retryAfter) implements Submission {
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/Tables.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Tables.java
@@ -3,20 +3,28 @@
 import org.almondmount.rows.RowStore.Place;
 
 /**
- * Where the workflow programs keep their rows.
+ * Tables and keys of the rows in the store.
  */
 public final class Tables {
 
-	/** Jobs and cancels as callers handed them in; any entry writes here. */
+	/**
+	 * Jobs and cancellations as submitted by callers; written by any entry.
+	 */
 	public static final String INTAKE = "intake";
 
-	/** The progress of jobs; only the holder of the term writes here. */
+	/**
+	 * The progress of jobs; written only by the holder of the term.
+	 */
 	public static final String PROGRESS = "progress";
 
-	/** Entries and where they accept peers. */
+	/**
+	 * Entries and the addresses on which they accept peers.
+	 */
 	public static final String ENTRIES = "entries";
 
-	/** The row that says who holds the term. */
+	/**
+	 * The row that names the holder of the term.
+	 */
 	public static final Place TERM = new Place("term", "holder");
 
 	private static final String JOB_KEY_PREFIX = "job/";
@@ -39,18 +47,18 @@
 	}
 
 	/**
-	 * Whether a row of the intake is a job.
+	 * Whether a row of the intake table is a job.
 	 * @param place the row
-	 * @return whether it is; else it is a cancel
+	 * @return true for a job, false for a cancellation
 	 */
 	public static boolean isJobRow(Place place) {
 		return place.key().startsWith(JOB_KEY_PREFIX);
 	}
 
 	/**
-	 * The job that a row of the intake is about.
+	 * Returns the job that a row of the intake table belongs to.
 	 * @param place the row
-	 * @return the job's identifier
+	 * @return the identifier of the job
 	 */
 	public static String jobId(Place place) {
 		return place.key().substring(place.key().indexOf('/') + 1);
--- a/fleet/src/main/java/org/almondmount/fleet/WorkerCalls.java
+++ b/fleet/src/main/java/org/almondmount/fleet/WorkerCalls.java
@@ -6,29 +6,29 @@
 import org.almondmount.worker.WorkerEvent;
 
 /**
- * Calls to the worker beside a target. Thread-safe. Futures never fail: every ending is
- * an event. Nothing is sent twice.
+ * Calls to the worker beside a target. Thread-safe. Futures never complete exceptionally:
+ * every outcome is an event. No call is retried.
  */
 public interface WorkerCalls {
 
 	/**
-	 * Looks at the worker and renews its lease.
-	 * @param poll what to ask
+	 * Polls the worker and renews its lease.
+	 * @param poll the request
 	 * @return {@link WorkerEvent.Looked} or {@link WorkerEvent.LookFailed}
 	 */
 	CompletableFuture<WorkerEvent> poll(WorkerCommand.Look poll);
 
 	/**
-	 * Has a run begin.
-	 * @param start what to begin
-	 * @return what came of it
+	 * Starts a run.
+	 * @param start the run to start
+	 * @return the outcome
 	 */
 	CompletableFuture<WorkerEvent.StartEnded> start(WorkerCommand.Start start);
 
 	/**
-	 * Has a run end.
-	 * @param stop what to end
-	 * @return what came of it
+	 * Stops a run.
+	 * @param stop the run to stop
+	 * @return the outcome
 	 */
 	CompletableFuture<WorkerEvent.StopEnded> stop(WorkerCommand.Stop stop);
 
--- a/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
+++ b/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
@@ -23,8 +23,8 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * What is kept, as JSON text. Defaults are left out and progress is written as arrays:
- * each write and read of the store is paid for by its size.
+ * Encodes stored rows as JSON text. Defaults are omitted and progress is written as
+ * arrays, since each write and read of the store is charged by its size.
  */
 public final class RecordCodec {
 
@@ -42,9 +42,9 @@
 
 	/**
 	 * Reads the row of a term.
-	 * @param text what is kept
-	 * @return the row
-	 * @throws InvalidValueException where the text is none
+	 * @param text the value of the row
+	 * @return the term
+	 * @throws InvalidValueException if the text is not valid JSON
 	 */
 	public static TermRow readTerm(String text) {
 		JsonNode in = parse("term", text);
@@ -68,9 +68,9 @@
 
 	/**
 	 * Reads a job.
-	 * @param text what is kept
+	 * @param text the value of the row
 	 * @return the job
-	 * @throws InvalidValueException where the text is none
+	 * @throws InvalidValueException if the text is not valid JSON
 	 */
 	public static Workflow readWorkflow(String text) {
 		JsonNode in = parse("job", text);
@@ -95,9 +95,9 @@
 
 	/**
 	 * Reads the progress of a job.
-	 * @param text what is kept
+	 * @param text the value of the row
 	 * @return the progress
-	 * @throws InvalidValueException where the text is none
+	 * @throws InvalidValueException if the text is not valid JSON
 	 */
 	public static JobRecord readProgress(String text) {
 		JsonNode in = parse("progress", text);
--- a/fleet/src/main/java/org/almondmount/fleet/codec/package-info.java
+++ b/fleet/src/main/java/org/almondmount/fleet/codec/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is kept, as text.
+ * The encoding of stored rows as text.
  */
 package org.almondmount.fleet.codec;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationGossip.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationGossip.java
@@ -11,10 +11,11 @@
 import org.almondmount.wire.PeerConnection;
 
 /**
- * Passes what operators declared from entry to entry. Belongs to the loop's thread.
+ * Propagates the declared configuration between entries. Confined to the event loop
+ * thread.
  * <p>
- * The store may turn away one entry alone. It would go on with an old configuration, and
- * callers would see a queue at one entry and not at the other.
+ * The store may reject a single entry. That entry would continue with an old
+ * configuration, and callers would see a queue at one entry but not at the other.
  */
 final class ConfigurationGossip {
 
@@ -24,7 +25,10 @@
 
 	private static final String DELETED_HEADER = "deleted";
 
-	/** A peer that lags for so long is told; before that its own feed will bring it. */
+	/**
+	 * Changes younger than this are not sent to a peer, since its own feed will deliver
+	 * them.
+	 */
 	private static final long MIN_LAG_MILLIS = 400;
 
 	private final ConfigurationWatcher configurationWatcher;
@@ -37,9 +41,9 @@
 	}
 
 	/**
-	 * Tells another entry what it does not know.
-	 * @param connection the connection to it
-	 * @param knownVersion the newest version that it knows
+	 * Sends the rows that another entry lacks.
+	 * @param connection the connection to the entry
+	 * @param knownVersion the newest version that the entry has
 	 */
 	void sendMissing(PeerConnection connection, long knownVersion) {
 		boolean settled = this.loop.steadyMillis() - this.configurationWatcher.changedAtMillis() >= MIN_LAG_MILLIS;
@@ -55,9 +59,9 @@
 	}
 
 	/**
-	 * Takes what another entry tells.
-	 * @param call what it said
-	 * @return false where it is about something else
+	 * Handles a message of another entry.
+	 * @param call the message
+	 * @return false if the message is not about the configuration
 	 */
 	boolean handle(Message.Forward call) {
 		if (!call.method().equals(DECLARED_METHOD)) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
@@ -20,21 +20,22 @@
 import org.almondmount.workflow.FleetConfiguration;
 
 /**
- * What operators declare, followed through the store and, where the store turns this
- * entry away, through its peers. Belongs to the loop's thread.
+ * Watches the declared configuration in the store and, where the store rejects this
+ * entry, receives it from peers. Confined to the event loop thread.
  * <p>
- * A row is only replaced by a newer version of it, so nothing that was in force goes back
- * whichever way a change arrives.
+ * A row is only replaced by a newer version of it, so the configuration never reverts to
+ * an older one, whichever way a change arrives.
  */
 final class ConfigurationWatcher {
 
 	private static final EventLog LOG = EventLog.of(ConfigurationWatcher.class);
 
 	/**
-	 * How long one question for changes stays open; each one is paid for. A connection
-	 * may go silent for good, and then a change is heard of only after the next question.
-	 * With the second that a store has beyond this time, that is found out in 2.5 s,
-	 * before changes have to be in force again.
+	 * How long one request for changes stays open; each request is charged. A connection
+	 * may go silent permanently, and then a change is received only with the next
+	 * request. Together with the additional second that the store is given to answer, a
+	 * silent connection is detected within 2.5 s, before the deadline for applying
+	 * changes.
 	 */
 	private static final Duration FEED_WAIT = Duration.ofMillis(1_500);
 
@@ -42,7 +43,9 @@
 
 	private static final int PAGE_SIZE = 500;
 
-	/** A page of rows is larger than other answers. */
+	/**
+	 * A page of rows is larger than other answers and takes longer.
+	 */
 	private static final Duration PAGE_READ_TIMEOUT = Duration.ofMillis(1_000);
 
 	private final RowStore store;
@@ -68,11 +71,11 @@
 	private boolean reachable = true;
 
 	/**
-	 * Makes a state that knows nothing before {@link #start()}.
-	 * @param store where operators declare
-	 * @param reader reads what they declare
-	 * @param loop the thread
-	 * @param listener hears of each change
+	 * Creates a watcher without configuration; it reads nothing before {@link #start()}.
+	 * @param store the store that holds the declarations
+	 * @param reader interprets the declarations
+	 * @param loop the event loop
+	 * @param listener called after each change
 	 * @param onReachable called when the store answers again
 	 */
 	ConfigurationWatcher(RowStore store, DeclarationReader reader, EventLoop loop,
@@ -97,8 +100,8 @@
 	}
 
 	/**
-	 * The newest version of any row.
-	 * @return the version, 0 where nothing is known
+	 * Returns the newest version of any row.
+	 * @return the version, 0 if there are no rows
 	 */
 	long version() {
 		return this.version;
@@ -113,7 +116,7 @@
 	}
 
 	/**
-	 * Takes rows that a peer knows.
+	 * Applies rows received from a peer.
 	 * @param received the rows
 	 */
 	void addFromPeer(List<Row> received) {
@@ -140,8 +143,8 @@
 		});
 	}
 
-	// What was deleted while nobody listened is not in the read. A row that is newer than
-	// the read came from a peer and stays.
+	// Rows deleted while no feed was open are missing from the read. A row newer than the
+	// read came from a peer and is retained.
 	private void removeMissing(List<Row> found, long sinceVersion) {
 		Set<String> presentKeys = new HashSet<>();
 		found.forEach((row) -> presentKeys.add(row.place().key()));
--- a/fleet/src/main/java/org/almondmount/fleet/entry/EntryCalls.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/EntryCalls.java
@@ -7,30 +7,40 @@
 import org.almondmount.wire.Message;
 
 /**
- * Calls between entries: what they are named, how they are answered, and the way to the
- * holder. Belongs to the loop's thread.
+ * Calls between entries: their methods and statuses, and the calls to the holder.
+ * Confined to the event loop thread.
  */
 final class EntryCalls {
 
-	/** Tells the holder of a job that another entry accepted. */
+	/**
+	 * Notifies the holder of a job that another entry accepted.
+	 */
 	static final String ACCEPTED = "accepted";
 
 	/** Asks another entry to accept a job. */
 	static final String SUBMIT = "submit";
 
-	/** Tells the holder of a cancel that is kept beside its job. */
+	/**
+	 * Notifies the holder of a cancellation that is stored beside its job.
+	 */
 	static final String CANCEL_PERSISTED = "cancel-kept";
 
-	/** Asks the holder where a job stands. */
+	/**
+	 * Asks the holder for the phase of a job.
+	 */
 	static final String PHASE = "phase";
 
 	/** Asks the holder to cancel a job. */
 	static final String CANCEL = "cancel";
 
-	/** Asks the holder how many jobs of a queue wait. */
+	/**
+	 * Asks the holder for the number of queued jobs of a queue.
+	 */
 	static final String WAITING = "waiting";
 
-	/** Header of the answer to {@link #PHASE}: why the job was given up. */
+	/**
+	 * Header of the answer to {@link #PHASE}: why the job failed.
+	 */
 	static final String REASON_HEADER = "why";
 
 	static final int OK = 200;
@@ -41,13 +51,20 @@
 
 	static final int UNSETTLED = 504;
 
-	/** Time for the holder to answer from memory before the store is asked. */
+	/**
+	 * Time for the holder to answer from memory before the store is read instead.
+	 */
 	static final long HOLDER_TIMEOUT_MILLIS = 500;
 
-	/** Pause before a notification that no holder took is sent again, in milliseconds. */
+	/**
+	 * Delay before a notification that no holder acknowledged is sent again, in
+	 * milliseconds.
+	 */
 	private static final long NOTIFY_RETRY_DELAY_MILLIS = 200;
 
-	/** After so many tries the holder has read the store itself. */
+	/**
+	 * After this many attempts the holder has read the store itself.
+	 */
 	private static final int MAX_NOTIFICATION_ATTEMPTS = 10;
 
 	private final TermDriver term;
@@ -63,11 +80,11 @@
 	}
 
 	/**
-	 * Notifies the holder of something that is kept, with retries until a holder
-	 * acknowledges it. The holder finds it in the store as well, but later.
-	 * @param method what happened
-	 * @param job the job that it is about
-	 * @param body more of it
+	 * Notifies the holder of a stored row, with retries until a holder acknowledges it.
+	 * The holder finds the row in the store as well, but later.
+	 * @param method the kind of notification
+	 * @param job the job concerned
+	 * @param body additional content
 	 */
 	void notifyHolder(String method, String job, byte[] body) {
 		notifyHolder(method, job, body, MAX_NOTIFICATION_ATTEMPTS);
@@ -83,12 +100,12 @@
 	}
 
 	/**
-	 * Asks the holder of the term.
-	 * @param method what is asked
-	 * @param subject what it is about
-	 * @param body more of it
-	 * @param timeoutMillis how long an answer is waited for
-	 * @return the answer, or empty where there was none in time
+	 * Calls the holder of the term.
+	 * @param method the method
+	 * @param subject the job or queue concerned
+	 * @param body additional content
+	 * @param timeoutMillis how long to wait for the answer
+	 * @return the answer, or empty if none arrived in time
 	 */
 	CompletableFuture<Optional<Message.ForwardAnswer>> callHolder(String method, String subject, byte[] body,
 			long timeoutMillis) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/EntryRegistration.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/EntryRegistration.java
@@ -11,14 +11,17 @@
 import org.almondmount.rows.RowStore.Write;
 
 /**
- * Makes this entry known in the store and learns of the others from there. Belongs to the
- * loop's thread.
+ * Registers this entry in the store and discovers the other entries there. Confined to
+ * the event loop thread.
  */
 final class EntryRegistration {
 
 	private static final long RETRY_DELAY_MILLIS = 300;
 
-	/** How often an entry that is alone, or nearly so, looks for others. */
+	/**
+	 * Interval at which an entry without connections to other entries reads the table of
+	 * entries.
+	 */
 	private static final long DISCOVERY_INTERVAL_MILLIS = 2_500;
 
 	private static final int MAX_ENTRIES = 500;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -39,8 +39,8 @@
 import org.almondmount.workflow.impl.DefaultWorkflowScheduler;
 
 /**
- * An entry for workflows: takes callers' jobs and questions and, while it holds the term,
- * decides what runs where. Thread-safe.
+ * An entry for workflows: accepts jobs and queries of callers and, while it holds the
+ * term, schedules the jobs. Thread-safe.
  */
 public final class FleetEntry implements AutoCloseable {
 
@@ -48,7 +48,9 @@
 
 	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
-	/** Entries that do not hold the term speak at every third turn. */
+	/**
+	 * Entries that do not hold the term send a heartbeat at every third tick.
+	 */
 	private static final int TICKS_PER_NON_HOLDER_HEARTBEAT = 3;
 
 	private final FleetSettings settings;
@@ -97,13 +99,13 @@
 	private int tickCount;
 
 	/**
-	 * Makes an entry that does nothing before {@link #start()}.
-	 * @param settings its settings
-	 * @param store where rows lie
-	 * @param reader reads what operators declare
+	 * Creates an entry that does nothing before {@link #start()}.
+	 * @param settings the settings
+	 * @param store the store of all rows
+	 * @param reader reads the declared configuration
 	 * @param wire opens connections to peers
-	 * @param loop where it decides
-	 * @param telemetry the process's metrics
+	 * @param loop runs all decisions
+	 * @param telemetry metrics of the process
 	 */
 	public FleetEntry(FleetSettings settings, RowStore store, DeclarationReader reader, WireEndpoint wire,
 			EventLoop loop, Telemetry telemetry) {
@@ -145,8 +147,8 @@
 	}
 
 	/**
-	 * Begins.
-	 * @return completes once peers can connect
+	 * Starts the entry.
+	 * @return completes when peers can connect
 	 */
 	public CompletableFuture<Void> start() {
 		this.loop.start();
@@ -161,7 +163,7 @@
 	}
 
 	/**
-	 * What operators declared, as far as this entry knows.
+	 * Returns the declared configuration, as far as this entry knows.
 	 * @return the newest configuration
 	 */
 	public FleetConfiguration configuration() {
@@ -169,11 +171,11 @@
 	}
 
 	/**
-	 * Waits until this entry knows what operators declared: an entry that has just
-	 * started reads it within about a third of a second, and a caller that was refused
-	 * meanwhile would have lost one of its few tries.
-	 * @param timeout the time that a caller gives, empty where it does not say
-	 * @return whether it is known
+	 * Waits until this entry has a configuration. An entry that has just started reads it
+	 * within about a third of a second, and a caller refused in the meantime would lose
+	 * one of its few attempts.
+	 * @param timeout the timeout of the caller, empty if it gives none
+	 * @return whether a configuration is known
 	 */
 	public CompletableFuture<Boolean> awaitConfigured(OptionalLong timeout) {
 		CompletableFuture<Boolean> outcome = new CompletableFuture<>();
@@ -188,8 +190,8 @@
 	/**
 	 * Accepts a job.
 	 * @param job the job
-	 * @param timeout the time that its caller gives, empty where it does not say
-	 * @return what became of it
+	 * @param timeout the timeout of the caller, empty if it gives none
+	 * @return the outcome
 	 */
 	public CompletableFuture<Submission> submit(Workflow job, OptionalLong timeout) {
 		CompletableFuture<Submission> outcome = new CompletableFuture<>();
@@ -204,10 +206,10 @@
 	}
 
 	/**
-	 * Says where a job stands.
+	 * Returns the phase of a job.
 	 * @param job the job
-	 * @param timeoutMillis after which its caller has to have an answer
-	 * @return where it stands
+	 * @param timeoutMillis the time within which the caller needs an answer
+	 * @return the answer
 	 */
 	public CompletableFuture<JobAnswer> phase(String job, long timeoutMillis) {
 		CompletableFuture<JobAnswer> outcome = new CompletableFuture<>();
@@ -220,8 +222,8 @@
 	/**
 	 * Cancels a job.
 	 * @param job the job
-	 * @param timeoutMillis after which its caller has to have an answer
-	 * @return known where the cancel is kept
+	 * @param timeoutMillis the time within which the caller needs an answer
+	 * @return {@link JobAnswer.Known} if the cancellation is stored
 	 */
 	public CompletableFuture<JobAnswer> cancel(String job, long timeoutMillis) {
 		CompletableFuture<JobAnswer> outcome = new CompletableFuture<>();
@@ -232,9 +234,9 @@
 	}
 
 	/**
-	 * Counts the jobs of a queue none of whose tasks has started.
+	 * Counts the jobs of a queue of which no task has started.
 	 * @param queue the queue
-	 * @return the count, or empty where the holder does not answer
+	 * @return the count, or empty if the holder does not answer
 	 */
 	public CompletableFuture<OptionalInt> queuedJobCount(String queue) {
 		CompletableFuture<OptionalInt> outcome = new CompletableFuture<>();
@@ -245,8 +247,8 @@
 	}
 
 	/**
-	 * Gives the term up, so that another entry can take it at once.
-	 * @return completes when it is given up or was not held
+	 * Releases the term, so that another entry can take it at once.
+	 * @return completes when the term is released or was not held
 	 */
 	public CompletableFuture<Void> release() {
 		this.loop.execute(this.term::release);
@@ -271,7 +273,7 @@
 		this.loop.scheduleRepeatedly(HEARTBEAT_INTERVAL_MILLIS, this::sendHeartbeat);
 	}
 
-	// Jobs of a queue that is not declared any more go last.
+	// Jobs of a queue that is no longer declared have the lowest priority.
 	private int queuePriority(String queue) {
 		return this.configuration.queue(queue).map(JobQueue::priority).orElse(Integer.MAX_VALUE);
 	}
@@ -287,8 +289,9 @@
 		}
 	}
 
-	// A holder that waits for its term to be renewed speaks too: entries that took it for
-	// lost would hold up the commit that renews it by commits of their own.
+	// A holder that waits for the renewal of its term sends heartbeats too. Otherwise
+	// other entries would consider it lost, and their own commits would delay the commit
+	// that renews the term.
 	private Message.EntryHeartbeat heartbeat() {
 		boolean isHolder = this.term.epoch() != 0;
 		return new Message.EntryHeartbeat(this.tickCount, this.configurationWatcher.version(),
@@ -339,8 +342,8 @@
 		}
 	}
 
-	// Where nobody listens any more the process that listened there is gone, and with it
-	// the term that it held: nobody has to wait for its end.
+	// If the connection is refused, the process that listened on the address has ended,
+	// and its term with it: the other entries need not wait for the end of the term.
 	private void onDialFailed(String address, Throwable failure) {
 		this.peers.dialFailed(address);
 		Optional<TermRow> held = this.term.holder().filter((row) -> row.address().equals(address));
@@ -393,8 +396,8 @@
 		}
 	}
 
-	// A word that names an epoch and does not hold it is that epoch's holder giving it
-	// up.
+	// A heartbeat that names an epoch without holding it means that the holder of this
+	// epoch resigns.
 	private void onEntryHeartbeat(PeerInfo peer, Message.EntryHeartbeat heartbeat) {
 		if (heartbeat.holder()) {
 			this.term.onHolderAnnounced(heartbeat.epoch(), heartbeat.commit(), peer.name(), peer.address());
@@ -421,7 +424,7 @@
 	}
 
 	/**
-	 * Hands what happens with the term to the parts that it concerns.
+	 * Passes the events of the term to the components concerned.
 	 */
 	private final class TermListener implements TermDriver.Listener {
 
@@ -456,7 +459,7 @@
 	}
 
 	/**
-	 * Hands what happens on connections to the loop.
+	 * Passes the events of connections to the event loop.
 	 */
 	private final class Listener implements PeerListener {
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/IntakeAttempt.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/IntakeAttempt.java
@@ -10,14 +10,16 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * One job on its way into the store. Mutable; belongs to the loop's thread.
+ * The submission of one job until it is in the store. Mutable; confined to the event loop
+ * thread.
  */
 final class IntakeAttempt {
 
 	private static final int NO_AWAITED_COPY = 0;
 
 	/**
-	 * Entries that are asked to accept one job, so that an outage is no flood of calls.
+	 * Limit of entries that one job is forwarded to, so that an outage does not cause a
+	 * flood of calls.
 	 */
 	private static final int MAX_PEERS = 3;
 
@@ -33,7 +35,9 @@
 
 	private final CompletableFuture<Submission> outcome;
 
-	/** Addresses of the entries that were asked to accept it. */
+	/**
+	 * Addresses of the entries that the job was forwarded to.
+	 */
 	private final Set<String> forwardedTo = new HashSet<>();
 
 	private boolean accepted;
@@ -67,8 +71,8 @@
 	}
 
 	/**
-	 * The job as it is kept.
-	 * @return the text of its row
+	 * Returns the encoded job.
+	 * @return the value of its row
 	 */
 	String rowValue() {
 		return this.rowValue;
@@ -87,8 +91,9 @@
 	}
 
 	/**
-	 * Whether it came to another entry, which waits for the store itself.
-	 * @return whether it did
+	 * Whether another entry received the job from its caller; that entry waits for the
+	 * store itself.
+	 * @return whether another entry forwarded the job
 	 */
 	boolean receivedFromPeer() {
 		return this.receivedFromPeer;
@@ -99,10 +104,10 @@
 	}
 
 	/**
-	 * Whether an entry may be asked to accept it. A few are, each once; what comes from
-	 * another entry is not passed on.
-	 * @param address the entry's address
-	 * @return whether it may
+	 * Whether the job may be forwarded to an entry. It is forwarded to a few entries,
+	 * once to each; a job from another entry is not forwarded again.
+	 * @param address the address of the entry
+	 * @return whether the job may be forwarded
 	 */
 	boolean mayForwardTo(String address) {
 		return !this.receivedFromPeer && this.forwardedTo.size() < MAX_PEERS && !this.forwardedTo.contains(address);
@@ -121,9 +126,9 @@
 	}
 
 	/**
-	 * Takes note of a copy of its write that leaves.
-	 * @param nowMillis the steady clock
-	 * @return the copy's number
+	 * Records that a copy of the write is sent.
+	 * @param nowMillis the time of the steady clock
+	 * @return the number of the copy
 	 */
 	int startCopy(long nowMillis) {
 		this.lastCopyAtMillis = nowMillis;
@@ -137,9 +142,9 @@
 	}
 
 	/**
-	 * Takes note that a copy is answered or overdue.
-	 * @param copy its number
-	 * @return whether it was waited for until now
+	 * Records that a copy is answered or overdue.
+	 * @param copy the number of the copy
+	 * @return whether the copy was awaited until now
 	 */
 	boolean stopAwaiting(int copy) {
 		if (this.awaitedCopy != copy) {
@@ -158,8 +163,8 @@
 	}
 
 	/**
-	 * Whether it was sent to the store and may be kept.
-	 * @return whether nobody can tell
+	 * Whether the job was sent to the store and may be stored.
+	 * @return whether the outcome is unknown
 	 */
 	boolean unsettled() {
 		return this.unsettled;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
@@ -27,12 +27,13 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * Accepts jobs at any entry. Belongs to the loop's thread.
+ * Accepts jobs at any entry. Confined to the event loop thread.
  * <p>
- * A job is accepted once its row is in the store, which any entry can bring about without
- * the holder. A write that was not answered may still take effect, so from then on the
- * job can no longer be refused: its caller hears that nobody can tell. What the store
- * does not take now waits in a line, as long as {@link IntakePolicy} says.
+ * A job is accepted once its row is in the store, which any entry can achieve without the
+ * holder. A write without an answer may still take effect. From then on the job can no
+ * longer be refused, and its caller is told that the outcome is unknown. Jobs that the
+ * store does not accept at the moment wait in a queue, for as long as
+ * {@link IntakePolicy} allows.
  */
 final class JobIntake {
 
@@ -41,23 +42,34 @@
 	/** Jobs that were not accepted, by reason. */
 	private static final String REFUSALS_METRIC = "intake";
 
-	/** No caller is known to wait longer for its job to be accepted. */
+	/**
+	 * No known caller waits longer than this for its job to be accepted.
+	 */
 	private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(3);
 
-	/** A store that is a hundred times slower answers a write within 800 ms. */
+	/**
+	 * A store that is a hundred times slower than usual answers a write within 800 ms.
+	 */
 	private static final long SLOW_ANSWER_MILLIS = 950;
 
-	/** How often the line is looked at, in milliseconds. */
+	/**
+	 * Interval at which the queue is checked, in milliseconds.
+	 */
 	private static final long QUEUE_CHECK_INTERVAL_MILLIS = 50;
 
-	/** Pause between two writes by which a store that refused is tried again. */
+	/**
+	 * Delay between two writes that retry a store which refused, in milliseconds.
+	 */
 	private static final long RETRY_INTERVAL_MILLIS = 150;
 
-	/** Jobs of the line that are written at the same time once the store takes them. */
+	/**
+	 * Limit of queued jobs that are written concurrently once the store accepts writes.
+	 */
 	private static final int MAX_CONCURRENT_WRITES = 16;
 
 	/**
-	 * Unsettled jobs that are remembered: more than callers leave within a status's time.
+	 * Limit of remembered jobs with an unknown outcome: more than callers leave behind
+	 * within the retention time of ended jobs.
 	 */
 	private static final int MAX_UNSETTLED_JOBS = 4_096;
 
@@ -83,7 +95,9 @@
 
 	private final IntakeLine<IntakeAttempt> queue = new IntakeLine<>(this.policy.mostWaiting());
 
-	/** Jobs of which nobody can tell whether they were accepted, the oldest first. */
+	/**
+	 * Jobs for which it is unknown whether they were accepted, oldest first.
+	 */
 	private final Set<String> unsettledJobs = new LinkedHashSet<>();
 
 	private int pendingWriteCount;
@@ -91,16 +105,16 @@
 	private long nextRetryAtMillis = Long.MIN_VALUE;
 
 	/**
-	 * Makes an intake that takes nothing out of its line before {@link #start()}.
-	 * @param store where jobs are kept
-	 * @param loop the thread
-	 * @param storeTimeout how long the store is waited for
-	 * @param telemetry the process's metrics
+	 * Creates an intake that processes no queued jobs before {@link #start()}.
+	 * @param store the store of the jobs
+	 * @param loop the event loop
+	 * @param storeTimeout the timeout of store calls
+	 * @param telemetry metrics of the process
 	 * @param schedulerDriver the scheduler of this entry
 	 * @param peers the other entries
-	 * @param storeGossip which of them reach the store
-	 * @param calls the way to the holder
-	 * @param queuePriority the priority of a queue, 0 for the most urgent
+	 * @param storeGossip which entries reach the store
+	 * @param calls calls to the holder
+	 * @param queuePriority returns the priority of a queue, 0 for the most urgent
 	 */
 	JobIntake(RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout, Telemetry telemetry,
 			SchedulerDriver schedulerDriver, PeerLinks peers, StoreGossip storeGossip, EntryCalls calls,
@@ -124,17 +138,17 @@
 	/**
 	 * Accepts a job of a caller.
 	 * @param job the job
-	 * @param timeoutMillis the time that its caller gives
-	 * @return what became of it
+	 * @param timeoutMillis the timeout of the caller
+	 * @return the outcome
 	 */
 	CompletableFuture<Submission> submit(Workflow job, long timeoutMillis) {
 		return startAttempt(job, timeoutMillis, false);
 	}
 
 	/**
-	 * Accepts a job that came to another entry, which waits for the store itself.
+	 * Accepts a job forwarded by another entry, which waits for the store itself.
 	 * @param job the job
-	 * @return what became of it
+	 * @return the outcome
 	 */
 	CompletableFuture<Submission> submitForPeer(Workflow job) {
 		return startAttempt(job, EntryCalls.HOLDER_TIMEOUT_MILLIS, true);
@@ -144,7 +158,9 @@
 		return this.queue.size() > 0;
 	}
 
-	/** The store answers again. */
+	/**
+	 * Writes queued jobs when the store answers again.
+	 */
 	void onStoreAnswering() {
 		writeQueued(MAX_CONCURRENT_WRITES);
 	}
@@ -166,7 +182,8 @@
 		return outcome;
 	}
 
-	// Each copy is waited for to the end and the first answer counts; see mayBeWritten.
+	// Each copy is awaited until its write timeout and the first answer counts; see
+	// mayWrite.
 	private void write(IntakeAttempt attempt) {
 		Place place = Tables.job(attempt.job().id());
 		long sentAtMillis = this.loop.steadyMillis();
@@ -217,9 +234,9 @@
 		enqueue(attempt);
 	}
 
-	// A job that was sent to a store that does not answer can no longer be refused. So
-	// where no answer is to be expected it is not sent, but passed on to the entries that
-	// may reach the store, and waits.
+	// A job that was sent to a store that does not answer can no longer be refused. So if
+	// no answer is expected, the job is not sent but forwarded to entries that may reach
+	// the store, or queued.
 	private void forwardOrEnqueue(IntakeAttempt attempt) {
 		if (attempt.accepted()) {
 			return;
@@ -259,16 +276,16 @@
 		}
 	}
 
-	// A store that does not answer this entry may answer another one, or be slow for all.
-	// A slow one would be held up by a second copy, so that is asked for only when a slow
-	// answer would have come.
+	// A store that does not answer this entry may answer another one, or it may be slow
+	// for all. A second copy would delay a slow store further, so the job is forwarded
+	// only after the time within which a slow store would have answered.
 	private boolean shouldForward(long nowMillis, IntakeAttempt attempt) {
 		return this.storeTimeout.isSilenceExpected() && nowMillis - attempt.lastCopyAtMillis() >= SLOW_ANSWER_MILLIS
 				&& this.storeGossip.mayReachStore(attempt::mayForwardTo).isPresent();
 	}
 
-	// One job finds out whether a store that refused takes jobs again; the others follow
-	// as fast as it takes them.
+	// One job tests whether a store that refused accepts writes again; the others follow
+	// as fast as the store accepts them.
 	private void writeQueued(int maxConcurrentWrites) {
 		while (this.pendingWriteCount < maxConcurrentWrites) {
 			Optional<IntakeAttempt> next = this.queue.takeFirst(this::mayWrite);
@@ -281,18 +298,19 @@
 		}
 	}
 
-	// A lost answer is found out only by waiting, so a copy is sent after a while. But a
-	// store that has become slow answers the first copy later than that, and takes the
-	// longer the more copies it is sent: so each copy is waited for, the first answer
-	// counts, and the next copy leaves when the last one is late by what was learnt
-	// since.
+	// A lost answer is detected only by a timeout, so another copy is sent after a while.
+	// But a store that has become slow answers the first copy after that timeout, and
+	// slows down further with every copy. So each copy is still awaited, the first answer
+	// counts, and the next copy is sent only when the last one exceeds the current
+	// timeout, which follows the answers since.
 	private boolean mayWrite(IntakeAttempt attempt) {
 		long millisSinceLastCopy = this.loop.steadyMillis() - attempt.lastCopyAtMillis();
 		return !attempt.hasPendingCopies() || millisSinceLastCopy >= this.storeTimeout.timeout().toMillis();
 	}
 
-	// The store may turn away this entry and serve another one. Both write the same row
-	// on the condition that it is not there, so it does not matter whose write is first.
+	// The store may reject this entry and serve another one. Both write the same row on
+	// the condition that it does not exist, so the order of the two writes does not
+	// matter.
 	private void forward(IntakeAttempt attempt, String peer) {
 		attempt.markForwardedTo(peer);
 		LOG.info("job-passed-on", "job", attempt.job().id(), "to", peer, "sentToStore", attempt.hasPendingCopies(),
@@ -332,8 +350,8 @@
 				attempt.rowValue().getBytes(StandardCharsets.UTF_8));
 	}
 
-	// What an earlier call left unsettled may still take effect, so a later call for the
-	// same job can't be refused either.
+	// An earlier call with an unknown outcome may still take effect, so a later call for
+	// the same job can't be refused either.
 	private void abandon(IntakeAttempt attempt) {
 		if (attempt.accepted()) {
 			return;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
@@ -25,20 +25,26 @@
 import org.almondmount.workflow.JobRecord;
 
 /**
- * Answers what callers and other entries ask about jobs at any entry, from the holder's
- * memory or from the store. Belongs to the loop's thread.
+ * Answers queries of callers and other entries about jobs, from the memory of the holder
+ * or from the store. Confined to the event loop thread.
  */
 final class JobRequestHandler {
 
 	private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
 
-	/** Pause before the store is asked again, in milliseconds. */
+	/**
+	 * Delay before a store call is repeated, in milliseconds.
+	 */
 	private static final long STORE_RETRY_DELAY_MILLIS = 60;
 
-	/** A cancel waits for a commit of the holder. */
+	/**
+	 * A cancellation waits for a commit of the holder.
+	 */
 	private static final long CANCEL_TIMEOUT_MILLIS = 1_500;
 
-	/** A count may be this old. */
+	/**
+	 * Maximum age of a cached count.
+	 */
 	private static final long MAX_COUNT_AGE_MILLIS = 800;
 
 	private final RowStore store;
@@ -129,9 +135,9 @@
 	}
 
 	/**
-	 * Answers a call of another entry.
+	 * Handles a call of another entry.
 	 * @param call the call
-	 * @return the status and body of the answer
+	 * @return the answer
 	 */
 	CompletableFuture<Answer> handleCall(Message.Forward call) {
 		return switch (call.method()) {
@@ -150,7 +156,7 @@
 		};
 	}
 
-	// A holder that still loads may have read the store before the row was there.
+	// A holder that is still loading may have read the store before the row was written.
 	private CompletableFuture<Answer> onNotification(Runnable notification) {
 		if (!this.schedulerDriver.mayDecide()) {
 			return completed(EntryCalls.UNAVAILABLE, "");
@@ -214,8 +220,8 @@
 				});
 	}
 
-	// Without the holder the cancel itself is kept as a row beside the job; whoever holds
-	// the term next, or looks at the intake, finds it there.
+	// Without the holder, the cancellation itself is stored as a row beside the job. The
+	// next holder, or the current one when it reads the intake, finds it there.
 	private void onCancelEnded(String job, boolean persisted, long deadlineMillis,
 			CompletableFuture<JobAnswer> outcome) {
 		if (persisted) {
@@ -293,9 +299,9 @@
 	/**
 	 * The answer to another entry.
 	 *
-	 * @param status a status as in HTTP
-	 * @param body a text
-	 * @param headers more of it
+	 * @param status a status code as in HTTP
+	 * @param body text content
+	 * @param headers additional values
 	 */
 	record Answer(int status, String body, Map<String, String> headers) {
 
@@ -306,7 +312,7 @@
 	}
 
 	/**
-	 * A count of jobs with the moment at which it was true.
+	 * A count of jobs and the time at which it was correct.
 	 */
 	private record Count(int count, long atMillis) {
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/PeerLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/PeerLinks.java
@@ -14,15 +14,19 @@
 import org.almondmount.wire.PeerConnection;
 
 /**
- * Connections to other entries, with calls and their answers. Belongs to the loop's
+ * Connections to other entries, with calls and their answers. Confined to the event loop
  * thread.
  */
 final class PeerLinks {
 
-	/** A failed address is dialled again after so long, in milliseconds. */
+	/**
+	 * Delay before a failed address is dialled again, in milliseconds.
+	 */
 	private static final long REDIAL_DELAY_MILLIS = 1_000;
 
-	/** Failures in a row after which an address is given up until it is learnt anew. */
+	/**
+	 * Consecutive failures after which an address is removed until it is added again.
+	 */
 	private static final int MAX_CONSECUTIVE_FAILURES = 30;
 
 	private final String ownAddress;
@@ -38,10 +42,10 @@
 	private long lastCallId;
 
 	/**
-	 * Makes links without connections.
-	 * @param ownAddress this entry's own peer address
-	 * @param loop the thread
-	 * @param dialler dials an address; ends with {@link #onConnected} or
+	 * Creates links without connections.
+	 * @param ownAddress the peer address of this entry
+	 * @param loop the event loop
+	 * @param dialler dials an address; followed by {@link #onConnected} or
 	 * {@link #dialFailed}
 	 */
 	PeerLinks(String ownAddress, EventLoop loop, Consumer<String> dialler) {
@@ -51,7 +55,7 @@
 	}
 
 	/**
-	 * Takes note of an entry's address and connects to it.
+	 * Adds the address of an entry and connects to it.
 	 * @param address {@code ip:port}
 	 */
 	void addAddress(String address) {
@@ -96,7 +100,7 @@
 	}
 
 	/**
-	 * Addresses of the entries that are connected, and this one's.
+	 * Returns the addresses of the connected entries and of this one.
 	 * @return the addresses
 	 */
 	List<String> connectedAddresses() {
@@ -112,7 +116,7 @@
 	}
 
 	/**
-	 * Addresses of the other entries that are connected.
+	 * Returns the addresses of the other entries that are connected.
 	 * @return the addresses
 	 */
 	List<String> otherConnectedAddresses() {
@@ -126,12 +130,12 @@
 
 	/**
 	 * Calls another entry.
-	 * @param address its address
-	 * @param method what is asked
-	 * @param subject what it is about
-	 * @param body further bytes, maybe none
-	 * @param timeoutMillis after which the call is given up
-	 * @return the answer, or empty where none came
+	 * @param address the address of the entry
+	 * @param method the method
+	 * @param subject the job or queue concerned
+	 * @param body additional bytes, may be empty
+	 * @param timeoutMillis the timeout of the call
+	 * @return the answer, or empty if none arrived
 	 */
 	CompletableFuture<Optional<Message.ForwardAnswer>> call(String address, String method, String subject, byte[] body,
 			long timeoutMillis) {
@@ -159,7 +163,7 @@
 		}
 	}
 
-	// No answer comes on a connection that is gone; whoever waits goes another way.
+	// A lost connection delivers no more answers, so its callers continue without one.
 	private void failCallsOn(PeerConnection connection) {
 		List<PendingCall> failedCalls = this.pendingCalls.values()
 			.stream()
@@ -178,7 +182,7 @@
 	}
 
 	/**
-	 * A call that is not answered yet.
+	 * A call without an answer so far.
 	 */
 	private record PendingCall(PeerConnection connection, CompletableFuture<Optional<Message.ForwardAnswer>> answer) {
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -38,31 +38,40 @@
 import org.almondmount.workflow.WorkflowScheduler;
 
 /**
- * Drives the scheduler while this entry holds the term: reads what is kept, keeps what it
- * decides and carries its orders to targets. Belongs to the loop's thread.
+ * Drives the scheduler while this entry holds the term: loads the stored jobs, persists
+ * decisions and sends commands to targets. Confined to the event loop thread.
  */
 final class SchedulerDriver {
 
 	private static final EventLog LOG = EventLog.of(SchedulerDriver.class);
 
-	/** Core-seconds of work that is over, by what became of it. */
+	/**
+	 * Core-seconds of finished work, by outcome.
+	 */
 	private static final String WORK_METRIC = "work";
 
-	/** Jobs that were given up, by reason. */
+	/**
+	 * Failed jobs, by reason.
+	 */
 	private static final String FAILED_JOBS_METRIC = "jobs.failed";
 
-	/** What a round of placing waiting work takes. */
+	/**
+	 * Duration of a placement round.
+	 */
 	private static final String PLACEMENT_METRIC = "placement";
 
 	private static final int PAGE_SIZE = 500;
 
 	/**
-	 * Progress without a job that is removed in one transaction: each row takes two of
-	 * its hundred entries, a condition and the removal.
+	 * Limit of progress rows without a job that are deleted in one transaction. A
+	 * transaction has at most a hundred elements, and each row takes two: a condition and
+	 * the deletion.
 	 */
 	private static final int MAX_ORPHANS_PER_TRANSACTION = 45;
 
-	/** A page of rows is larger than other answers. */
+	/**
+	 * A page of rows is larger than other answers and takes longer.
+	 */
 	private static final Duration PAGE_READ_TIMEOUT = Duration.ofMillis(1_000);
 
 	private static final long TICK_INTERVAL_MILLIS = 50;
@@ -70,8 +79,8 @@
 	private static final long RELOAD_DELAY_MILLIS = 100;
 
 	/**
-	 * How often jobs are looked for whose entry did not live to tell of them, in
-	 * milliseconds: a caller's first question comes about then.
+	 * Interval at which the intake is read for jobs whose entry ended before it notified
+	 * the holder, in milliseconds. A caller sends its first query after about this time.
 	 */
 	private static final long INTAKE_READ_INTERVAL_MILLIS = 2_000;
 
@@ -93,7 +102,9 @@
 
 	private final PlacementRateLimiter placementRateLimiter = new PlacementRateLimiter();
 
-	/** Whether a round waits in the loop behind the events that came before it. */
+	/**
+	 * Whether a placement round is queued in the event loop behind the preceding events.
+	 */
 	private boolean placementRequested;
 
 	private final Map<String, List<Consumer<Boolean>>> pendingCancels = new HashMap<>();
@@ -110,7 +121,9 @@
 
 	private boolean intakeReadPending;
 
-	/** Jobs beside which a cancel is kept. */
+	/**
+	 * Jobs beside which a cancellation is stored.
+	 */
 	private final Set<String> jobsWithCancelRow = new HashSet<>();
 
 	SchedulerDriver(WorkflowScheduler scheduler, RowStore store, EventLoop loop, Telemetry telemetry, TermDriver term,
@@ -133,8 +146,8 @@
 	}
 
 	/**
-	 * Whether the scheduler knows all that is kept and may decide.
-	 * @return whether it does
+	 * Whether the scheduler has loaded all stored jobs and may decide.
+	 * @return whether it may decide
 	 */
 	boolean mayDecide() {
 		return this.loaded && this.term.mayDecide();
@@ -185,7 +198,8 @@
 	}
 
 	/**
-	 * A cancel is kept beside its job, whether the job is known here yet or not.
+	 * Handles a cancellation that is stored beside its job, whether or not the job is
+	 * known here yet.
 	 * @param job the job
 	 */
 	void onCancelPersisted(String job) {
@@ -194,18 +208,18 @@
 	}
 
 	/**
-	 * Where a job stands.
+	 * Returns the phase of a job.
 	 * @param job the job
-	 * @return its phase, or empty where it is not known here
+	 * @return its phase, or empty if the job is not known here
 	 */
 	Optional<JobPhase> phase(String job) {
 		return this.scheduler.phase(job);
 	}
 
 	/**
-	 * Why a job was given up.
+	 * Returns why a job failed.
 	 * @param job the job
-	 * @return the reason, or empty where it was not given up or is not known here
+	 * @return the reason, or empty if the job did not fail or is not known here
 	 */
 	String failureMessage(String job) {
 		return this.scheduler.failureMessage(job).orElse("");
@@ -218,15 +232,16 @@
 	/**
 	 * Cancels a job that is known here.
 	 * @param job the job
-	 * @param callback told true once the cancel is kept, false where that is not known
+	 * @param callback receives true once the cancellation is persisted, false if that is
+	 * unknown
 	 */
 	void cancel(String job, Consumer<Boolean> callback) {
 		this.pendingCancels.computeIfAbsent(job, (id) -> new ArrayList<>()).add(callback);
 		process(new WorkflowEvent.CancelRequested(job));
 	}
 
-	// What targets tell is told once. It is heard too while the term waits to be renewed;
-	// nothing is granted or ordered then.
+	// Targets do not repeat their messages. So messages are also handled while the
+	// renewal of the term is pending; no lease is granted and no command is sent then.
 	void onTargetMessage(String target, Message message) {
 		if (this.term.epoch() == 0) {
 			return;
@@ -257,8 +272,9 @@
 		}
 	}
 
-	// The round goes behind what waits in the loop already, so that a burst of events is
-	// placed once. Where it rests, or the loop is full, the next tick asks again.
+	// The round is queued behind the pending tasks of the event loop, so that a burst of
+	// events causes a single round. If the round is not due yet, or the loop is full, the
+	// next tick requests it again.
 	private void requestPlacement() {
 		if (!this.placementRequested && mayDecide() && this.placementRateLimiter.isDue(this.loop.steadyMillis())) {
 			this.placementRequested = this.loop.execute(this::place);
@@ -319,9 +335,9 @@
 		}
 	}
 
-	// A job counts as accepted while its row of the intake is there, so that goes first.
-	// A holder that is lost in between leaves progress without such a row; the next one
-	// removes it when it loads.
+	// A job counts as accepted while its intake row exists, so this row is deleted first.
+	// If the holder is lost in between, progress remains without an intake row; the next
+	// holder deletes it when it loads.
 	private void deleteJobs(List<String> jobs) {
 		List<Write> rows = new ArrayList<>();
 		for (String job : jobs) {
@@ -340,7 +356,7 @@
 		deleteRows(jobs.stream().map((job) -> new Write(Tables.progress(job), Optional.empty())).toList(), onDeleted);
 	}
 
-	// What can't be removed now stays where it is, and is tried again later.
+	// Rows that can't be deleted now remain, and their deletion is retried later.
 	private void deleteRows(List<Write> rows, Runnable onDeleted) {
 		deleteRows(List.of(), rows, onDeleted);
 	}
@@ -362,9 +378,9 @@
 		});
 	}
 
-	// Progress is read first: a job is accepted before it has any, so that the later read
-	// finds the job of each row. Read the other way round, progress that the next holder
-	// keeps meanwhile looks as if its job was forgotten.
+	// Progress is read first: a job is accepted before it has progress, so the later read
+	// of the intake finds the job of each progress row. In the opposite order, progress
+	// that the next holder writes in the meantime would look like that of a deleted job.
 	private void load(long epoch) {
 		readAll(Tables.PROGRESS, "", new ArrayList<>(), Long.MAX_VALUE, epoch,
 				(progress) -> readAll(Tables.INTAKE, "", new ArrayList<>(), Long.MAX_VALUE, epoch, (intake) -> {
@@ -403,9 +419,9 @@
 		readIntakeChanges();
 	}
 
-	// A job that can't be read here may be read by another version: its progress has to
-	// stay, or what is done would be done again. A removal that is carried out late must
-	// not hit progress that was kept since.
+	// A job that this version can't decode may be readable by another version, so its
+	// progress has to remain, or completed work would be repeated. The conditions ensure
+	// that a late deletion does not affect progress written since.
 	private void removeOrphans(long epoch, List<Row> intake, Stream<Row> progress) {
 		Set<String> accepted = new HashSet<>();
 		intake.forEach((row) -> accepted.add(Tables.jobId(row.place())));
@@ -444,8 +460,8 @@
 		});
 	}
 
-	// An entry that accepted a job tells the holder at once. One that dies in between
-	// leaves the job in the store, where it is found here.
+	// An entry that accepts a job notifies the holder at once. If the entry ends before
+	// that, the job is in the store and is found here.
 	private void readIntakeChanges() {
 		if (!mayDecide() || this.intakeReadPending) {
 			return;
@@ -486,9 +502,9 @@
 		onCancelPersisted(job);
 	}
 
-	// Rows read anew come in the order of their keys, a cancel before its job. It has to
-	// count once the job is known, or the job would run though its caller was told that
-	// it is cancelled.
+	// Rows that are read again arrive in the order of their keys, a cancellation before
+	// its job. It has to be applied once the job is known, or the job would run although
+	// its caller was told that it is cancelled.
 	private void cancelIfRequested(String job) {
 		boolean active = this.scheduler.phase(job).map((phase) -> !phase.isTerminal()).orElse(false);
 		if (active && this.jobsWithCancelRow.contains(job)) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/StoreGossip.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/StoreGossip.java
@@ -12,14 +12,14 @@
 import org.almondmount.wire.Message;
 
 /**
- * Passes from entry to entry whether the store answers, and remembers what each said.
- * Mutable; belongs to the loop's thread.
+ * Exchanges with other entries whether the store answers, and remembers the last message
+ * of each. Mutable; confined to the event loop thread.
  * <p>
- * A job that is sent to a silent store can no longer be refused. Entries that learnt of
- * the silence only by their own writes would each lose a caller, so one that hears of it
- * asks the store first, with a read. And the store may turn away some entries, the holder
- * among them, and serve the others: a job that is passed on to an entry that is turned
- * away too has lost its time.
+ * A job that is sent to a silent store can no longer be refused. If entries noticed the
+ * silence only by their own writes, each would lose a caller, so an entry that is
+ * notified of it probes the store with a read first. The store may also reject some
+ * entries, the holder among them, and serve the others: a job that is forwarded to
+ * another rejected entry loses its time.
  */
 final class StoreGossip {
 
@@ -30,9 +30,9 @@
 	private static final String SILENT_METHOD = "store-silent";
 
 	/**
-	 * How much later the others are told of a silence, in milliseconds. A store that is
-	 * only slow has answered by then, and entries that ask before they write would be
-	 * twice as slow.
+	 * Delay before the other entries are notified of a silence, in milliseconds. A store
+	 * that is only slow has answered by then, and entries that probe before they write
+	 * would take twice as long.
 	 */
 	private static final long ANNOUNCE_DELAY_MILLIS = 800;
 
@@ -44,18 +44,22 @@
 
 	private final Runnable probeStore;
 
-	/** Entries whose last word was that the store is silent. */
+	/**
+	 * Entries whose last message was that the store is silent.
+	 */
 	private final Set<String> silentEntries = new HashSet<>();
 
-	/** Entries that were answered since this one was not. */
+	/**
+	 * Entries that the store has answered since it stopped answering this one.
+	 */
 	private final Set<String> answeredEntries = new HashSet<>();
 
 	/**
-	 * Makes news that tell of silences from now on.
+	 * Creates the gossip and registers it for silences of the store.
 	 * @param peers the other entries
-	 * @param storeTimeout knows whether the store answers this entry
-	 * @param loop the thread
-	 * @param probeStore asks the store whether it answers
+	 * @param storeTimeout tracks whether the store answers this entry
+	 * @param loop the event loop
+	 * @param probeStore probes whether the store answers
 	 */
 	StoreGossip(PeerLinks peers, AdaptiveStoreTimeout storeTimeout, EventLoop loop, Runnable probeStore) {
 		this.peers = peers;
@@ -65,16 +69,18 @@
 		storeTimeout.onSilence(this::onStoreSilent);
 	}
 
-	/** The store, which was silent, answers this entry again. */
+	/**
+	 * Notifies the other entries that the store answers this one again.
+	 */
 	void onStoreAnswering() {
 		broadcast(ANSWERS_METHOD);
 	}
 
 	/**
-	 * Takes what another entry tells.
-	 * @param address the entry's address
-	 * @param call what it said
-	 * @return false where it is about something else
+	 * Handles a message of another entry.
+	 * @param address the address of the entry
+	 * @param call the message
+	 * @return false if the message is not about the store
 	 */
 	boolean handle(String address, Message.Forward call) {
 		if (call.method().equals(ANSWERS_METHOD)) {
@@ -95,8 +101,8 @@
 	}
 
 	/**
-	 * Forgets what an entry said: it may have been started anew.
-	 * @param address the entry's address
+	 * Discards the state of an entry, which may have restarted.
+	 * @param address the address of the entry
 	 */
 	void onConnected(String address) {
 		this.silentEntries.remove(address);
@@ -104,10 +110,10 @@
 	}
 
 	/**
-	 * An entry that may reach the store.
-	 * @param eligible which entries may be asked
-	 * @return one that was answered since this one was not, or else one of which nothing
-	 * speaks against it
+	 * Returns an entry that may reach the store.
+	 * @param eligible the entries to consider
+	 * @return an entry that the store has answered since it stopped answering this one,
+	 * or else one that has not reported the store as silent
 	 */
 	Optional<String> mayReachStore(Predicate<String> eligible) {
 		return findFirst(eligible.and(this.answeredEntries::contains))
--- a/fleet/src/main/java/org/almondmount/fleet/entry/StoreProbe.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/StoreProbe.java
@@ -10,21 +10,24 @@
 import org.almondmount.rows.RowStore;
 
 /**
- * Finds out when a store that fell silent answers again. Belongs to the loop's thread.
+ * Detects when a store that stopped answering answers again. Confined to the event loop
+ * thread.
  * <p>
- * A question that was sent into the silence is lost, and waiting for its answer delays
- * the news by as much as a slow store may take. So a new one is sent soon, whether the
- * last one was answered or not. It is a read: a job that is sent to find out can't be
- * refused any more. Whoever hears first tells the other entries.
+ * A request sent to a silent store is lost, and waiting for its answer delays the
+ * detection by as long as a slow store may take. So a new request follows soon, whether
+ * or not the last one was answered. It is a read, since a job that is sent as a probe can
+ * no longer be refused. The first entry that gets an answer notifies the others.
  */
 final class StoreProbe {
 
 	/**
-	 * Pause between two questions while a caller waits for the answer, in milliseconds.
+	 * Interval of requests while a caller waits for the store, in milliseconds.
 	 */
 	private static final long PROBE_INTERVAL_MILLIS = 100;
 
-	/** Turns between two questions while nobody waits. */
+	/**
+	 * Ticks per request while no caller waits.
+	 */
 	private static final int TICKS_PER_PROBE_WHEN_IDLE = 3;
 
 	private final RowStore store;
@@ -42,10 +45,10 @@
 	private boolean probing;
 
 	/**
-	 * Makes a probe that asks nothing before {@link #start()}.
+	 * Creates a probe that sends nothing before {@link #start()}.
 	 * @param store the store
-	 * @param loop the thread
-	 * @param storeTimeout knows whether the store is silent
+	 * @param loop the event loop
+	 * @param storeTimeout tracks whether the store is silent
 	 * @param callerWaiting whether a caller waits for the store
 	 */
 	StoreProbe(RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout, BooleanSupplier callerWaiting) {
@@ -56,8 +59,8 @@
 	}
 
 	/**
-	 * Has something done each time the store answers again.
-	 * @param listener what to do
+	 * Adds a listener that is called each time the store answers again.
+	 * @param listener the listener
 	 */
 	void addListener(Runnable listener) {
 		this.listeners.add(listener);
@@ -72,7 +75,9 @@
 		});
 	}
 
-	/** Asks at once: something else was answered, or another entry was. */
+	/**
+	 * Sends a request at once, because another call or another entry got an answer.
+	 */
 	void probe() {
 		if (!this.storeTimeout.isSilenceExpected()) {
 			if (this.probing) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
@@ -7,14 +7,16 @@
 import org.almondmount.workflow.WorkflowCommand;
 
 /**
- * Sends the holder's orders to targets, and says which of them did not leave. Belongs to
- * the loop's thread.
+ * Sends the commands of the holder to targets and reports undelivered ones. Confined to
+ * the event loop thread.
  */
 final class TargetCommandSender {
 
 	private static final EventLog LOG = EventLog.of(TargetCommandSender.class);
 
-	/** Orders that did not leave for their target, by reason. */
+	/**
+	 * Commands that were not sent to their target, by reason.
+	 */
 	private static final String UNDELIVERED_METRIC = "orders.undelivered";
 
 	private final TermDriver term;
@@ -41,8 +43,8 @@
 				(epoch, heartbeat) -> new Message.RunStop(epoch, stop.incarnation(), stop.task(), stop.run()));
 	}
 
-	// Not repeated: a worker lists an end until it hears that it is kept. What is kept
-	// stays so, whether the term is renewed in time or not.
+	// Not repeated: a worker lists an end until its record is acknowledged. A recorded
+	// end remains recorded, whether or not the term is renewed in time.
 	void sendEndsAcknowledgement(WorkflowCommand.AcknowledgeEnds ends) {
 		if (this.term.epoch() == 0) {
 			return;
@@ -73,7 +75,7 @@
 	}
 
 	/**
-	 * Makes the message of an order.
+	 * Creates the message of a command.
 	 */
 	private interface MessageFactory {
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
@@ -13,7 +13,7 @@
 import org.almondmount.wire.PeerConnection;
 
 /**
- * Connections to targets. Belongs to the loop's thread.
+ * Connections to targets. Confined to the event loop thread.
  */
 final class TargetLinks {
 
@@ -50,7 +50,8 @@
 	}
 
 	/**
-	 * This entry takes the term, so the holder that was last seen is none any more.
+	 * Handles the begin of this entry's own term, which invalidates the holder seen
+	 * before.
 	 * @param epoch the epoch of the term
 	 */
 	void onTermBegan(long epoch) {
@@ -84,9 +85,9 @@
 	}
 
 	/**
-	 * Sends to a target.
+	 * Sends a message to a target.
 	 * @param target the target
-	 * @param message makes the message from the last heartbeat that was heard
+	 * @param message creates the message from the number of the last heartbeat received
 	 * @return whether a connection to the target is open
 	 */
 	boolean send(String target, LongFunction<Message> message) {
@@ -107,7 +108,7 @@
 	}
 
 	/**
-	 * A connection with the last heartbeat that came on it.
+	 * A connection and the number of the last heartbeat received on it.
 	 */
 	private static final class Link {
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
@@ -23,7 +23,8 @@
 import org.almondmount.term.TermSettings;
 
 /**
- * Carries out the decisions about the term. Belongs to the loop's thread.
+ * Executes the commands of the state machine of the term. Confined to the event loop
+ * thread.
  */
 final class TermDriver {
 
@@ -50,14 +51,14 @@
 	private boolean storeAnswering = true;
 
 	/**
-	 * Makes a driver that does nothing before {@link #start()}.
-	 * @param settings how this entry takes part
-	 * @param store where the row lies
-	 * @param loop the thread
-	 * @param storeTimeout how long the store is waited for
-	 * @param telemetry the process's metrics
-	 * @param writesForSequence the writes of a save, by its sequence
-	 * @param listener hears of the term
+	 * Creates a driver that does nothing before {@link #start()}.
+	 * @param settings the settings of the term
+	 * @param store the store that holds the term row
+	 * @param loop the event loop
+	 * @param storeTimeout the timeout of store calls
+	 * @param telemetry metrics of the process
+	 * @param writesForSequence returns the writes to persist for a sequence number
+	 * @param listener receives the events of the term
 	 */
 	TermDriver(TermSettings settings, RowStore store, EventLoop loop, AdaptiveStoreTimeout storeTimeout,
 			Telemetry telemetry, LongFunction<List<Write>> writesForSequence, Listener listener) {
@@ -76,7 +77,7 @@
 	}
 
 	/**
-	 * Whether this entry may decide at this very moment.
+	 * Whether this entry may decide at this moment.
 	 * @return whether it holds the term and the term is valid by the clock
 	 */
 	boolean mayDecide() {
@@ -88,16 +89,16 @@
 	}
 
 	/**
-	 * This entry's last commit that is in the store.
-	 * @return its number, 0 where there is none
+	 * Returns the last commit of this entry that is in the store.
+	 * @return the number of the commit, 0 if there is none
 	 */
 	long persistedCommit() {
 		return this.manager.keptCommit();
 	}
 
 	/**
-	 * The other entry that was last seen to hold the term.
-	 * @return its row
+	 * Returns the other entry that was last seen to hold the term.
+	 * @return the row of the term
 	 */
 	Optional<TermRow> holder() {
 		return this.holder;
@@ -108,11 +109,11 @@
 	}
 
 	/**
-	 * An entry says that it holds the term.
+	 * Handles the announcement of an entry that holds the term.
 	 * @param epoch the epoch
-	 * @param commit its last commit that is in the store, 0 where it does not say
-	 * @param entry its name
-	 * @param address where it accepts peers
+	 * @param commit the last commit of the entry that is in the store, 0 if not given
+	 * @param entry the name of the entry
+	 * @param address the address on which the entry accepts peers
 	 */
 	void onHolderAnnounced(long epoch, long commit, String entry, String address) {
 		if (epoch < this.manager.epoch()) {
@@ -127,8 +128,8 @@
 	}
 
 	/**
-	 * The holder of an epoch surely decides nothing any more.
-	 * @param epoch the epoch
+	 * Handles the certain end of a term: its holder makes no more decisions.
+	 * @param epoch the epoch of the term
 	 */
 	void onHolderResigned(long epoch) {
 		process(new TermEvent.HolderQuit(epoch));
@@ -138,7 +139,10 @@
 		process(new TermEvent.HolderLost());
 	}
 
-	/** The store answers again. A commit that it has not answered may only be slow. */
+	/**
+	 * Reports that the store answers again. If its answers are slow, an unanswered commit
+	 * may only be delayed, and nothing is reported.
+	 */
 	void onStoreAnswering() {
 		if (this.storeTimeout.answersQuickly()) {
 			process(new TermEvent.StoreAnswers());
@@ -217,11 +221,11 @@
 		this.loop.schedule(this.storeTimeout.timeout().toMillis(), () -> onOverdue(call));
 	}
 
-	// A lost answer is found out only by waiting, so the row is read soon. A store takes
-	// the commits of a part one after the other: a second copy that is sent to a slow one
-	// holds up the next commit by as much as the first took, and the holder loses its
-	// term by its own copies. So only a store that answers the read quickly is sent the
-	// commit again.
+	// A lost answer is detected only by a timeout, so the row is read soon. A store
+	// executes the commits of a partition one after the other: a second copy sent to a
+	// slow store delays the next commit by as long as the first took, and the holder
+	// would lose its term through its own copies. So the commit is sent again only if the
+	// store answers the read quickly.
 	private void onOverdue(CommitCall call) {
 		if (call.answered) {
 			return;
@@ -296,9 +300,9 @@
 		}
 	}
 
-	// A term ends by its commits. Which of them failed, and how large they were, is all
-	// that tells a slow store from one that turns this entry away, and from a holder that
-	// is slow itself.
+	// A term ends when its commits fail. Only the kind of failure and the size of the
+	// commits distinguish a slow store from one that rejects this entry, and from a
+	// holder that is slow itself.
 	private void logFailedCommit(CommitCall call, String outcome, String reason) {
 		LOG.warn("term-commit-" + outcome, "epoch", this.manager.epoch(), "commit", call.row.commit(), "rows",
 				call.rows, "bytes", call.bytes, "millis", this.loop.steadyMillis() - call.sentAtMillis, "why", reason);
@@ -335,7 +339,7 @@
 	}
 
 	/**
-	 * One copy of a commit on its way to the store.
+	 * One copy of a commit sent to the store.
 	 */
 	private static final class CommitCall {
 
@@ -349,7 +353,9 @@
 
 		private boolean answered;
 
-		/** Whether it was sent again meanwhile. */
+		/**
+		 * Whether the commit was sent again.
+		 */
 		private boolean resent;
 
 		CommitCall(TermRow row, List<Write> writes, long sentAtMillis) {
@@ -366,14 +372,14 @@
 	}
 
 	/**
-	 * Hears of the term, on the loop's thread.
+	 * Receives the events of the term, on the event loop thread.
 	 */
 	interface Listener {
 
 		void onTermBegan(long epoch);
 
 		/**
-		 * This entry no longer decides, whether it lost the term or gave it up.
+		 * Called when this entry no longer decides, because it lost or released the term.
 		 * @param epoch the epoch of the term
 		 */
 		void onTermEnded(long epoch);
@@ -382,7 +388,9 @@
 
 		void onHolderSeen(TermRow row);
 
-		/** This entry takes no term any more and holds none. */
+		/**
+		 * Called when this entry holds no term and will take none.
+		 */
 		void onReleased();
 
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/UndeliveredReason.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/UndeliveredReason.java
@@ -1,14 +1,19 @@
 package org.almondmount.fleet.entry;
 
 /**
- * Why an order of the holder did not leave for its target.
+ * Why a command of the holder was not sent to its target.
  */
 enum UndeliveredReason {
 
-	/** No connection to the target is open; the order is repeated while it is wanted. */
+	/**
+	 * No connection to the target is open; the command is repeated as long as it is
+	 * needed.
+	 */
 	TARGET_NOT_CONNECTED,
 
-	/** This entry no longer holds the term; the next holder decides anew. */
+	/**
+	 * This entry no longer holds the term; the next holder decides again.
+	 */
 	TERM_OVER
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/entry/package-info.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The entry: terms, the scheduler's driver, callers' requests and peers.
+ * The entry: terms, the driver of the scheduler, requests of callers and peers.
  */
 package org.almondmount.fleet.entry;
--- a/fleet/src/main/java/org/almondmount/fleet/package-info.java
+++ b/fleet/src/main/java/org/almondmount/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The programs that run workflows: the entry and the target as libraries. The root holds
- * what an adapter of a platform meets; {@code entry}, {@code target} and {@code codec}
- * hold how it is done.
+ * The entry and the target, the processes that run workflows, as libraries. The root
+ * package holds the interfaces to the adapter of a platform; {@code entry}, {@code
+ * target} and {@code codec} hold the implementation.
  */
 package org.almondmount.fleet;
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
@@ -36,13 +36,13 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * Two entries and a target that run three jobs on loopback, with a store and a worker in
- * memory. Belongs to one thread.
+ * Two entries and a target that run three jobs over the loopback interface, with an
+ * in-memory store and worker. Confined to one thread.
  * <p>
- * A target that restarts has to be ready before the lease beside it runs out. Some 700 of
- * the classes that it uses came from jar files and not from the archive, because the
- * build ran no connection, no order and no commit: on half a core that took as long as
- * all the rest of the start.
+ * A target that restarts has to be ready before the lease of its worker expires. Without
+ * connections, commands and commits in the build, some 700 of the classes that the target
+ * uses are loaded from jar files and not from the class archive, which on half a core
+ * takes as long as the rest of the startup.
  */
 public final class FleetRehearsal implements AutoCloseable {
 
@@ -75,8 +75,8 @@
 	private final AtomicLong announcements = new AtomicLong();
 
 	/**
-	 * Makes an installation that does nothing before {@link #start()}.
-	 * @throws IOException where no port of loopback is free
+	 * Creates an installation that does nothing before {@link #start()}.
+	 * @throws IOException if no port of the loopback interface is free
 	 */
 	public FleetRehearsal() throws IOException {
 		this.store.put(TABLE, "configuration", "1");
@@ -93,8 +93,9 @@
 	}
 
 	/**
-	 * Begins, and hands in three jobs: one runs, one is cancelled, the last is a gang.
-	 * @return what became of the hand-in of the last one
+	 * Starts the installation and submits three jobs: one runs, one is cancelled, the
+	 * last is a gang.
+	 * @return the outcome of the last submission
 	 */
 	public CompletableFuture<Submission> start() {
 		return this.first.start().thenCompose((started) -> this.second.start()).thenCompose((started) -> {
@@ -111,7 +112,7 @@
 	}
 
 	/**
-	 * Asks where the job of the gang stands.
+	 * Queries the phase of the gang's job.
 	 * @return the answer
 	 */
 	public CompletableFuture<JobAnswer> gangJobPhase() {
@@ -151,7 +152,7 @@
 	}
 
 	/**
-	 * One queue and one customer, whatever is declared.
+	 * Returns one queue and one customer, whatever the rows declare.
 	 */
 	private static final class FixedDeclarations implements DeclarationReader {
 
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryStore.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryStore.java
@@ -11,7 +11,7 @@
 import org.almondmount.rows.RowStore;
 
 /**
- * Rows in memory. Thread-safe. Keeps no history but the newest change of each row.
+ * An in-memory store. Thread-safe. Keeps only the newest change of each row.
  */
 final class MemoryStore implements RowStore {
 
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/MemoryWorker.java
@@ -16,7 +16,7 @@
 import org.almondmount.workflow.WorkerReport.Running;
 
 /**
- * A worker whose runs end after three looks. Thread-safe.
+ * A worker whose runs end after three polls. Thread-safe.
  */
 final class MemoryWorker implements WorkerCalls {
 
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/package-info.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A whole installation in one process and in memory, to run each part once in a build: a
- * JVM that starts from the archive of the classes used here is ready sooner.
+ * A complete installation in one process, held in memory, that executes each component
+ * once during the build. A JVM that starts with a class archive of the classes used here
+ * is ready sooner.
  */
 package org.almondmount.fleet.rehearsal;
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -35,10 +35,14 @@
 
 	private static final EventLog LOG = EventLog.of(FleetTarget.class);
 
-	/** Orders that were not carried out, by reason. */
+	/**
+	 * Commands that were not executed, by reason.
+	 */
 	private static final String IGNORED_COMMANDS_METRIC = "orders.ignored";
 
-	/** Workers that ended without notice under what they ran. */
+	/**
+	 * Workers that ended without notice while they ran tasks.
+	 */
 	private static final String CRASHED_WORKERS_METRIC = "workers.crashed";
 
 	private static final long TICK_INTERVAL_MILLIS = 100;
@@ -46,7 +50,8 @@
 	private static final long SEARCH_INTERVAL_MILLIS = 300;
 
 	/**
-	 * How often the entries are read while the holder is not known; reads are paid for.
+	 * Searches per read of the table of entries while the holder is unknown; each read is
+	 * charged.
 	 */
 	private static final int SEARCHES_PER_READ = 5;
 
@@ -75,13 +80,13 @@
 	private int searchCount;
 
 	/**
-	 * Makes a target that does nothing before {@link #start()}.
-	 * @param settings its settings
+	 * Creates a target that does nothing before {@link #start()}.
+	 * @param settings the settings
 	 * @param worker calls to its worker
-	 * @param store where entries are found
+	 * @param store the store that lists the entries
 	 * @param wire opens connections to entries
-	 * @param loop where it decides
-	 * @param telemetry the process's metrics
+	 * @param loop runs all decisions
+	 * @param telemetry metrics of the process
 	 */
 	public FleetTarget(FleetSettings settings, WorkerCalls worker, RowStore store, WireEndpoint wire, EventLoop loop,
 			Telemetry telemetry) {
@@ -98,7 +103,9 @@
 		this.manager = new WorkerKeeper(settings.name(), WorkerPolicy.DEFAULT);
 	}
 
-	/** Begins. */
+	/**
+	 * Starts the target.
+	 */
 	public void start() {
 		LOG.info("target-started", "target", this.settings.name(), "zone", this.settings.zone());
 		this.loop.start();
@@ -108,16 +115,17 @@
 	}
 
 	/**
-	 * The worker described itself.
-	 * @param description what it said
-	 * @param announcement counts what this life of the worker announces
+	 * Handles the description that the worker sent.
+	 * @param description the description
+	 * @param announcement sequence number of the announcement within this incarnation of
+	 * the worker
 	 */
 	public void onWorkerDescribed(WorkerDescription description, long announcement) {
 		this.loop.execute(() -> process(new WorkerEvent.Described(description, announcement)));
 	}
 
 	/**
-	 * The worker said that it ends now.
+	 * Handles the announcement of the worker that it ends now.
 	 * @param worker the worker
 	 */
 	public void onWorkerLeft(String worker) {
@@ -279,7 +287,7 @@
 	}
 
 	/**
-	 * Hands what happens on connections to the loop.
+	 * Passes the events of connections to the event loop.
 	 */
 	private final class Listener implements PeerListener {
 
--- a/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
@@ -15,29 +15,34 @@
 import org.almondmount.wire.PeerConnection;
 
 /**
- * Finds the entry that holds the term. Belongs to the loop's thread.
+ * Finds the entry that holds the term. Confined to the event loop thread.
  * <p>
- * Any entry says whether it is the holder or, as soon as it knows, who is. So a few are
- * dialled at first, other ones by each target, and one more now and then, since an entry
- * may be cut off from the holder itself. Were all targets to dial all entries after a
- * loss of power, the entries would be busy with connections for seconds, while callers
- * and the term wait. Once the holder is found the other connections are closed: they
- * would only cost heartbeats.
+ * Any entry announces that it is the holder or, as soon as it knows, which entry is. So
+ * the target first dials a few entries, which differ from target to target, and adds
+ * another one from time to time, since an entry may be cut off from the holder. If all
+ * targets dialled all entries after a power failure, the entries would be busy with
+ * connections for seconds, while callers and the term wait. Once the holder is found, the
+ * other connections are closed, since they would only cost heartbeats.
  */
 final class HolderSearch {
 
-	/** So that one that is gone or knows nothing does not cost a turn. */
+	/**
+	 * More than one, so that an entry that is down or knows no holder does not cost a
+	 * round.
+	 */
 	private static final int INITIAL_DIAL_COUNT = 2;
 
 	/**
-	 * Turns until one more entry is dialled: somewhat longer than an entry that reaches
-	 * the others takes to hear of a holder.
+	 * Rounds until one more entry is dialled: slightly longer than it takes an entry that
+	 * reaches the others to learn of a holder.
 	 */
 	private static final int ROUNDS_PER_EXTRA_DIAL = 2;
 
 	private final Consumer<String> dialler;
 
-	/** Decides with which entry this target begins. */
+	/**
+	 * Position in the list of entries at which this target starts to dial.
+	 */
 	private final int startOffset;
 
 	private final Set<String> knownAddresses = new TreeSet<>();
@@ -62,14 +67,14 @@
 	}
 
 	/**
-	 * Takes note of entries.
+	 * Adds entries.
 	 * @param addresses their addresses
 	 */
 	void addAddresses(List<String> addresses) {
 		this.knownAddresses.addAll(addresses);
 	}
 
-	// Forgets entries that are no longer named; those that are connected stay.
+	// Removes entries that are no longer listed; their open connections remain.
 	void replaceAddresses(List<String> addresses) {
 		if (!addresses.isEmpty()) {
 			this.knownAddresses.retainAll(addresses);
@@ -77,7 +82,9 @@
 		}
 	}
 
-	/** Takes a turn of the search while the holder is not known. */
+	/**
+	 * Dials the next entries if the holder is unknown.
+	 */
 	void dialNextEntries() {
 		if (this.holder.isPresent()) {
 			return;
@@ -120,9 +127,9 @@
 	}
 
 	/**
-	 * Takes note of a lost connection.
+	 * Handles a lost connection.
 	 * @param connection the connection
-	 * @return whether it was the holder's
+	 * @return whether it led to the holder
 	 */
 	boolean onDisconnected(PeerConnection connection) {
 		this.openConnections.remove(connection.peer().address(), connection);
@@ -134,10 +141,10 @@
 	}
 
 	/**
-	 * An entry says that it holds the term.
-	 * @param connection its connection
-	 * @param announcedEpoch the epoch
-	 * @return whether it is the holder from now on
+	 * Handles the announcement of an entry that holds the term.
+	 * @param connection the connection to the entry
+	 * @param announcedEpoch the epoch of its term
+	 * @return whether the entry is the holder from now on
 	 */
 	boolean onHolderAnnounced(PeerConnection connection, long announcedEpoch) {
 		boolean current = this.openConnections.get(connection.peer().address()) == connection;
@@ -154,9 +161,9 @@
 	}
 
 	/**
-	 * An entry says that it does not hold the term.
-	 * @param connection its connection
-	 * @return whether it was the holder until now
+	 * Handles the announcement of an entry that does not hold the term.
+	 * @param connection the connection to the entry
+	 * @return whether the entry was the holder until now
 	 */
 	boolean onNotHolder(PeerConnection connection) {
 		if (this.holder.map((current) -> current == connection).orElse(false)) {
