--- a/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
+++ b/fleet/src/main/java/org/almondmount/fleet/codec/RecordCodec.java
@@ -222,7 +222,7 @@
 			return JSON.readTree(text);
 		}
 		catch (JsonProcessingException ex) {
-			throw new InvalidValueException(kind, "is no JSON; see who else writes to the store");
+			throw new InvalidValueException(kind, "is not valid JSON; check what else writes to the store");
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -365,7 +365,7 @@
 		long epoch = this.loadingEpoch;
 		this.loop.onCompletion(this.store.commit(conditions, rows, PAGE_READ_TIMEOUT), (outcome) -> {
 			if (outcome instanceof RowStore.Commit.Conflict) {
-				LOG.warn("rows-not-removed", "rows", rows.size(), "why", "a row was kept anew meanwhile");
+				LOG.warn("rows-not-removed", "rows", rows.size(), "why", "a row was written again in the meantime");
 				return;
 			}
 			if (!(outcome instanceof RowStore.Commit.Committed)) {
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -253,7 +253,7 @@
 			}
 		}
 		else if (this.holderSearch.onNotHolder(connection)) {
-			onHolderLost("it gave up the term");
+			onHolderLost("the holder resigned the term");
 		}
 	}
 
