--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 import org.almondmount.fleet.DeclarationReader;
+import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.FleetSettings;
 import org.almondmount.fleet.JobAnswer;
-import org.almondmount.fleet.Loop;
+import org.almondmount.fleet.SingleThreadEventLoop;
 import org.almondmount.fleet.Submission;
-import org.almondmount.fleet.ThreadLoop;
 import org.almondmount.fleet.entry.FleetEntry;
 import org.almondmount.fleet.target.FleetTarget;
 import org.almondmount.net.IoThreads;
@@ -36,13 +36,13 @@
 import org.almondmount.workflow.Workflow;
 
 /**
- * Two entries and a target that run three jobs on loopback, with a store and a worker in
- * memory. Belongs to one thread.
+ * Two entries and a target that run three jobs over the loopback interface, with an
+ * in-memory store and worker. Confined to one thread.
  * <p>
- * A target that restarts has to be ready before the lease beside it runs out. Some 700 of
- * the classes that it uses came from jar files and not from the archive, because the
- * build ran no connection, no order and no commit: on half a core that took as long as
- * all the rest of the start.
+ * A target that restarts has to be ready before the lease of its worker expires. Without
+ * connections, commands and commits in the build, some 700 of the classes that the target
+ * uses are loaded from jar files and not from the class archive, which on half a core
+ * takes as long as the rest of the startup.
  */
 public final class FleetRehearsal implements AutoCloseable {
 
@@ -54,9 +54,9 @@
 
 	private static final Duration LEASE = Duration.ofSeconds(6);
 
-	private static final WorkerIncarnation LIFE = new WorkerIncarnation("worker", 1);
+	private static final WorkerIncarnation INCARNATION = new WorkerIncarnation("worker", 1);
 
-	private static final long ANNOUNCE_MILLIS = 1_000;
+	private static final long ANNOUNCE_INTERVAL_MILLIS = 1_000;
 
 	private final IoThreads io = new IoThreads("rehearsal-io", 1);
 
@@ -70,37 +70,39 @@
 
 	private final FleetTarget target;
 
-	private final Loop targetLoop = new ThreadLoop();
+	private final EventLoop targetLoop = new SingleThreadEventLoop();
 
 	private final AtomicLong announcements = new AtomicLong();
 
 	/**
-	 * Makes an installation that does nothing before {@link #start()}.
-	 * @throws IOException where no port of loopback is free
+	 * Creates an installation that does nothing before {@link #start()}.
+	 * @throws IOException if no port of the loopback interface is free
 	 */
 	public FleetRehearsal() throws IOException {
 		this.store.put(TABLE, "configuration", "1");
 		this.first = entry("entry-1");
 		this.second = entry("entry-2");
-		this.target = new FleetTarget(settings("target"), new MemoryWorker(LIFE), this.store,
+		this.target = new FleetTarget(settings("target"), new MemoryWorker(INCARNATION), this.store,
 				new NettyWire(this.io, this.telemetry), this.targetLoop, new Telemetry());
 	}
 
 	private void announce() {
-		this.target.described(new WorkerDescription(LIFE, "pool", "zone", Set.of("r1-1"), CAPACITY, false, 0),
+		this.target.onWorkerDescribed(
+				new WorkerDescription(INCARNATION, "pool", "zone", Set.of("r1-1"), CAPACITY, false, 0),
 				this.announcements.incrementAndGet());
 	}
 
 	/**
-	 * Begins, and hands in three jobs: one runs, one is cancelled, the last is a gang.
-	 * @return what became of the hand-in of the last one
+	 * Starts the installation and submits three jobs: one runs, one is cancelled, the
+	 * last is a gang.
+	 * @return the outcome of the last submission
 	 */
 	public CompletableFuture<Submission> start() {
 		return this.first.start().thenCompose((started) -> this.second.start()).thenCompose((started) -> {
 			this.target.start();
 			announce();
-			this.targetLoop.every(ANNOUNCE_MILLIS, this::announce);
-			return this.first.configured(OptionalLong.empty());
+			this.targetLoop.scheduleRepeatedly(ANNOUNCE_INTERVAL_MILLIS, this::announce);
+			return this.first.awaitConfigured(OptionalLong.empty());
 		}).thenCompose((configured) -> {
 			this.first.submit(job("a", false), OptionalLong.empty());
 			this.second.submit(job("cancelled", false), OptionalLong.empty())
@@ -110,10 +112,10 @@
 	}
 
 	/**
-	 * Asks where the job of the gang stands.
+	 * Queries the phase of the gang's job.
 	 * @return the answer
 	 */
-	public CompletableFuture<JobAnswer> phase() {
+	public CompletableFuture<JobAnswer> gangJobPhase() {
 		return this.second.phase("gang", LEASE.toMillis());
 	}
 
@@ -126,8 +128,8 @@
 	}
 
 	private FleetEntry entry(String name) throws IOException {
-		return new FleetEntry(settings(name), this.store, new Declared(), new NettyWire(this.io, this.telemetry),
-				new ThreadLoop(), new Telemetry());
+		return new FleetEntry(settings(name), this.store, new FixedDeclarations(),
+				new NettyWire(this.io, this.telemetry), new SingleThreadEventLoop(), new Telemetry());
 	}
 
 	private static FleetSettings settings(String name) throws IOException {
@@ -150,9 +152,9 @@
 	}
 
 	/**
-	 * One queue and one customer, whatever is declared.
+	 * Returns one queue and one customer, whatever the rows declare.
 	 */
-	private static final class Declared implements DeclarationReader {
+	private static final class FixedDeclarations implements DeclarationReader {
 
 		@Override
 		public String table() {
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -181,7 +181,7 @@
 	}
 
 	@Override
-	public CompletableFuture<WorkerEvent> look(WorkerCommand.Poll look) {
+	public CompletableFuture<WorkerEvent> poll(WorkerCommand.Poll look) {
 		CompletableFuture<WorkerEvent> answer = new CompletableFuture<>();
 		boolean other = !look.incarnation().worker().isEmpty() && !look.incarnation().worker().equals(this.name);
 		if (away()) {
