--- a/bench/src/main/java/org/almondmount/bench/baseline/Fleet.java
+++ b/bench/src/main/java/org/almondmount/bench/baseline/Fleet.java
@@ -146,7 +146,7 @@
 	}
 
 	private static int copies(Resources each, Resources room) {
-		int copies = GangShape.LARGEST_GANG;
+		int copies = GangShape.MAX_MEMBERS;
 		if (each.accelerators() > 0) {
 			copies = Math.min(copies, room.accelerators() / each.accelerators());
 		}
--- a/bench/src/main/java/org/almondmount/bench/cost/SteadyFleet.java
+++ b/bench/src/main/java/org/almondmount/bench/cost/SteadyFleet.java
@@ -142,7 +142,7 @@
 	public JobEvent.JobSubmitted largeGang() {
 		this.now += 1_000;
 		Resources each = new Resources(0, 1, 1_024);
-		JobSpec spec = new JobSpec(customer(), "large", new GangShape(GangShape.LARGEST_GANG, each, Adjacency.ZONE),
+		JobSpec spec = new JobSpec(customer(), "large", new GangShape(GangShape.MAX_MEMBERS, each, Adjacency.ZONE),
 				Urgency.NORMAL, true, Duration.ofHours(1), Duration.ofMinutes(10), "run");
 		return new JobEvent.JobSubmitted(new JobId("large-" + this.submitted++), spec);
 	}
--- a/bench/src/main/java/org/almondmount/bench/measure/FleetState.java
+++ b/bench/src/main/java/org/almondmount/bench/measure/FleetState.java
@@ -207,7 +207,7 @@
 	}
 
 	private static int copies(Resources each, Resources room) {
-		int copies = GangShape.LARGEST_GANG;
+		int copies = GangShape.MAX_MEMBERS;
 		copies = (each.accelerators() > 0) ? Math.min(copies, room.accelerators() / each.accelerators()) : copies;
 		copies = (each.cores() > 0) ? Math.min(copies, room.cores() / each.cores()) : copies;
 		return (each.memoryMb() > 0) ? Math.min(copies, room.memoryMb() / each.memoryMb()) : copies;
--- a/bench/src/main/java/org/almondmount/bench/measure/SafetyChecker.java
+++ b/bench/src/main/java/org/almondmount/bench/measure/SafetyChecker.java
@@ -133,13 +133,13 @@
 		if (before != null && before.started && !before.allGone()) {
 			violation(now, "placed again while the older attempt still runs: " + attempt);
 		}
-		if (!spec.repeatable() && !spec.checkpoints() && this.toldToStart.contains(attempt.job())) {
+		if (!spec.repeatable() && !spec.savesCheckpoints() && this.toldToStart.contains(attempt.job())) {
 			violation(now, "may not be repeated, yet placed again: " + attempt);
 		}
 		this.attempts.put(attempt.job(), attempt.number());
 		Live gang = new Live(attempt, spec, commit.placement());
 		this.live.put(attempt.job(), gang);
-		if (!spec.repeatable() && !spec.checkpoints() && this.workers.size() <= LARGE_FLEET) {
+		if (!spec.repeatable() && !spec.savesCheckpoints() && this.workers.size() <= LARGE_FLEET) {
 			checkGuarantees(now, gang);
 		}
 	}
--- a/bench/src/main/java/org/almondmount/bench/replay/WorkerSide.java
+++ b/bench/src/main/java/org/almondmount/bench/replay/WorkerSide.java
@@ -230,7 +230,7 @@
 			return;
 		}
 		GangRun gang = member.gang();
-		if (!gang.job().planned().spec().checkpoints()) {
+		if (!gang.job().planned().spec().savesCheckpoints()) {
 			stop(member);
 			return;
 		}
--- a/bench/src/main/java/org/almondmount/bench/requests/EntrySide.java
+++ b/bench/src/main/java/org/almondmount/bench/requests/EntrySide.java
@@ -71,7 +71,7 @@
 	}
 
 	private void tick() {
-		take(new RequestEvent.TimePassed());
+		take(new RequestEvent.Tick());
 		this.agenda.after(TICK, this::tick);
 	}
 
@@ -95,7 +95,7 @@
 			this.retries += counted ? 1 : 0;
 		}
 		else if (command instanceof RequestCommand.WakeAt wake) {
-			this.agenda.at(wake.atMillis(), () -> take(new RequestEvent.TimePassed()));
+			this.agenda.at(wake.atMillis(), () -> take(new RequestEvent.Tick()));
 		}
 	}
 
--- a/bench/src/main/java/org/almondmount/bench/requests/RequestFigures.java
+++ b/bench/src/main/java/org/almondmount/bench/requests/RequestFigures.java
@@ -59,7 +59,7 @@
 			if (trace.isDelivered()) {
 				latencies.add((double) trace.latency());
 			}
-			else if (trace.refusal().isPresent() && trace.refusal().get().ran() == RunState.NOT_RUN) {
+			else if (trace.refusal().isPresent() && trace.refusal().get().runState() == RunState.NOT_RUN) {
 				notRun++;
 			}
 			else {
@@ -75,7 +75,7 @@
 		if (trace.endings() != 1) {
 			return true;
 		}
-		boolean toldNotRun = trace.refusal().isPresent() && trace.refusal().get().ran() == RunState.NOT_RUN;
+		boolean toldNotRun = trace.refusal().isPresent() && trace.refusal().get().runState() == RunState.NOT_RUN;
 		return (toldNotRun && trace.runs() > 0) || (!trace.idempotent && trace.runs() > 1);
 	}
 
--- a/bench/src/main/java/org/almondmount/bench/requests/RequestReplay.java
+++ b/bench/src/main/java/org/almondmount/bench/requests/RequestReplay.java
@@ -111,10 +111,10 @@
 	@Override
 	public void fromTarget(TargetSide target, SlotCommand command) {
 		if (command instanceof SlotCommand.LendSlots lend) {
-			toEntry(target, lend.entry(), new RequestEvent.TargetSlots(target.id, lend.slots()));
+			toEntry(target, lend.entry(), new RequestEvent.TargetSlotsChanged(target.id, lend.slots()));
 			int loans = this.loans.merge(new Link(lend.entry(), target.id), 1, Integer::sum);
 			toTargetAfter(2 * MESSAGE + HEARTBEAT, lend.entry(), target.id,
-					new SlotEvent.LoanSeen(lend.entry(), loans));
+					new SlotEvent.LoanConfirmed(lend.entry(), loans));
 		}
 		else if (command instanceof SlotCommand.Answer answer) {
 			toEntry(target, answer.entry(), new RequestEvent.Answered(answer.request(), answer.attempt(), target.id,
@@ -122,11 +122,11 @@
 		}
 		else if (command instanceof SlotCommand.RefuseNotStarted refuse) {
 			toEntry(target, refuse.entry(),
-					new RequestEvent.NotStarted(refuse.request(), refuse.attempt(), target.id, refuse.why()));
+					new RequestEvent.NotStarted(refuse.request(), refuse.attempt(), target.id, refuse.reason()));
 		}
 		else if (command instanceof SlotCommand.AnswerBroken broken) {
 			toEntry(target, broken.entry(),
-					new RequestEvent.Broken(broken.request(), broken.attempt(), target.id, broken.why()));
+					new RequestEvent.Broken(broken.request(), broken.attempt(), target.id, broken.reason()));
 		}
 	}
 
--- a/bench/src/main/java/org/almondmount/bench/workload/LetterMix.java
+++ b/bench/src/main/java/org/almondmount/bench/workload/LetterMix.java
@@ -118,7 +118,7 @@
 			job.shape(gang(32), CORES, Adjacency.ZONE);
 		}
 		else if (kind < 74) {
-			job.shape(GangShape.LARGEST_GANG, CORES, Adjacency.ZONE);
+			job.shape(GangShape.MAX_MEMBERS, CORES, Adjacency.ZONE);
 		}
 		else if (kind < 90) {
 			job.shape(gang(16), ACCELERATOR, Adjacency.RACK);
@@ -135,7 +135,7 @@
 		int size = middle;
 		int steps = this.random.nextInt(5) - 2;
 		size = (steps < 0) ? size >> -steps : size << steps;
-		return Math.max(1, Math.min(GangShape.LARGEST_GANG, size));
+		return Math.max(1, Math.min(GangShape.MAX_MEMBERS, size));
 	}
 
 	private CustomerId customer() {
--- a/bench/src/main/java/org/almondmount/bench/workload/PlannedJob.java
+++ b/bench/src/main/java/org/almondmount/bench/workload/PlannedJob.java
@@ -43,7 +43,7 @@
 	 * @return true if it checkpoints or may be repeated
 	 */
 	public boolean preemptible() {
-		return this.spec.repeatable() || this.spec.checkpoints();
+		return this.spec.repeatable() || this.spec.savesCheckpoints();
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/configuration/ConfigurationCommand.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfigurationCommand.java
@@ -8,18 +8,18 @@
 public sealed interface ConfigurationCommand {
 
 	/** This configuration holds here from now on; tell every part and every peer. */
-	record InForce(Configuration configuration) implements ConfigurationCommand {
+	record Apply(Configuration configuration) implements ConfigurationCommand {
 	}
 
 	/**
 	 * Read the row; answer with {@link ConfigurationEvent.RowRead} or
 	 * {@link ConfigurationEvent.ReadFailed}.
 	 */
-	record Fetch() implements ConfigurationCommand {
+	record ReadRow() implements ConfigurationCommand {
 	}
 
 	/** Ask a peer for its configuration, which is newer. */
-	record AskPeer(String peer, long ownRevision) implements ConfigurationCommand {
+	record RequestFromPeer(String peer, long ownRevision) implements ConfigurationCommand {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/configuration/ConfigurationEvent.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfigurationEvent.java
@@ -19,15 +19,15 @@
 	}
 
 	/** A peer sent its configuration, which was accepted before it was sent. */
-	record Pushed(Configuration configuration) implements ConfigurationEvent {
+	record ReceivedFromPeer(Configuration configuration) implements ConfigurationEvent {
 	}
 
 	/** A peer has this revision in force. */
-	record RevisionSeen(long revision, String peer) implements ConfigurationEvent {
+	record PeerRevisionReceived(long revision, String peer) implements ConfigurationEvent {
 	}
 
 	/** A regular tick. */
-	record TimePassed() implements ConfigurationEvent {
+	record Tick() implements ConfigurationEvent {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/configuration/ConfigurationKeeper.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfigurationManager.java
@@ -14,26 +14,26 @@
  * revert. Taking a configuration only when its revision is higher than the one in force
  * is enough, because a revision is given out once, by a fenced commit.
  */
-public final class ConfigurationKeeper {
+public final class ConfigurationManager {
 
-	private static final long ASK_AGAIN_MILLIS = 200;
+	private static final long PEER_REQUEST_INTERVAL_MILLIS = 200;
 
-	private final long pollMillis;
+	private final long pollIntervalMillis;
 
 	private Optional<Configuration> current = Optional.empty();
 
-	private boolean fetching;
+	private boolean reading;
 
-	private long nextFetch = Long.MIN_VALUE;
+	private long nextReadMillis = Long.MIN_VALUE;
 
-	private long nextAsk = Long.MIN_VALUE;
+	private long nextPeerRequestMillis = Long.MIN_VALUE;
 
 	/**
 	 * Makes a keeper that knows no configuration.
-	 * @param pollMillis interval at which the row is read
+	 * @param pollIntervalMillis interval at which the row is read
 	 */
-	public ConfigurationKeeper(long pollMillis) {
-		this.pollMillis = pollMillis;
+	public ConfigurationManager(long pollIntervalMillis) {
+		this.pollIntervalMillis = pollIntervalMillis;
 	}
 
 	/**
@@ -60,45 +60,45 @@
 	 */
 	public List<ConfigurationCommand> handle(long nowMillis, ConfigurationEvent event) {
 		if (event instanceof ConfigurationEvent.RowRead read) {
-			this.fetching = false;
-			return take(read.configuration());
+			this.reading = false;
+			return accept(read.configuration());
 		}
-		if (event instanceof ConfigurationEvent.Pushed pushed) {
-			return take(pushed.configuration());
+		if (event instanceof ConfigurationEvent.ReceivedFromPeer pushed) {
+			return accept(pushed.configuration());
 		}
 		if (event instanceof ConfigurationEvent.ReadFailed) {
-			this.fetching = false;
+			this.reading = false;
 			return List.of();
 		}
-		if (event instanceof ConfigurationEvent.RevisionSeen seen) {
-			return seen(nowMillis, seen);
+		if (event instanceof ConfigurationEvent.PeerRevisionReceived seen) {
+			return onPeerRevision(nowMillis, seen);
 		}
 		return poll(nowMillis);
 	}
 
-	private List<ConfigurationCommand> take(Configuration configuration) {
+	private List<ConfigurationCommand> accept(Configuration configuration) {
 		if (this.current.isPresent() && configuration.revision() <= revision()) {
 			return List.of();
 		}
 		this.current = Optional.of(configuration);
-		return List.of(new ConfigurationCommand.InForce(configuration));
+		return List.of(new ConfigurationCommand.Apply(configuration));
 	}
 
-	private List<ConfigurationCommand> seen(long now, ConfigurationEvent.RevisionSeen seen) {
-		if (seen.revision() <= revision() || now < this.nextAsk) {
+	private List<ConfigurationCommand> onPeerRevision(long now, ConfigurationEvent.PeerRevisionReceived event) {
+		if (event.revision() <= revision() || now < this.nextPeerRequestMillis) {
 			return List.of();
 		}
-		this.nextAsk = now + ASK_AGAIN_MILLIS;
-		return List.of(new ConfigurationCommand.AskPeer(seen.peer(), revision()));
+		this.nextPeerRequestMillis = now + PEER_REQUEST_INTERVAL_MILLIS;
+		return List.of(new ConfigurationCommand.RequestFromPeer(event.peer(), revision()));
 	}
 
 	private List<ConfigurationCommand> poll(long now) {
-		if (this.fetching || now < this.nextFetch) {
+		if (this.reading || now < this.nextReadMillis) {
 			return List.of();
 		}
-		this.fetching = true;
-		this.nextFetch = now + this.pollMillis;
-		return List.of(new ConfigurationCommand.Fetch());
+		this.reading = true;
+		this.nextReadMillis = now + this.pollIntervalMillis;
+		return List.of(new ConfigurationCommand.ReadRow());
 	}
 
 }
--- a/core/src/main/java/org/almondmount/configuration/ConfirmationEvent.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfirmationEvent.java
@@ -19,7 +19,7 @@
 	}
 
 	/** The commit of a configuration came to its end. */
-	record CommitEnded(long revision, Ending ending) implements ConfirmationEvent {
+	record CommitEnded(long revision, CommitOutcome outcome) implements ConfirmationEvent {
 	}
 
 	/** This entry no longer holds the scheduler's lease. */
@@ -27,13 +27,13 @@
 	}
 
 	/** A regular tick. */
-	record TimePassed() implements ConfirmationEvent {
+	record Tick() implements ConfirmationEvent {
 	}
 
 	/**
 	 * How the commit of a configuration ended, settled if its answer was lost.
 	 */
-	enum Ending {
+	enum CommitOutcome {
 
 		/** It took effect. */
 		COMMITTED,
--- a/core/src/main/java/org/almondmount/configuration/ConfirmationKeeper.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfirmationManager.java
@@ -17,21 +17,21 @@
  * meanwhile could start in a zone that operators were told is out, so starts are held
  * back from before the commit is sent until its ending is known.
  */
-public final class ConfirmationKeeper {
+public final class ConfirmationManager {
 
-	private static final Duration COME_BACK = Duration.ofSeconds(2);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
-	private final long answerWithinMillis;
+	private final long answerTimeoutMillis;
 
-	private Pending pending;
+	private PendingChange pending;
 
 	/**
 	 * Makes a keeper without a pending change.
-	 * @param answerWithinMillis after this time an operator hears that the ending is not
+	 * @param answerTimeoutMillis after this time an operator hears that the ending is not
 	 * known yet
 	 */
-	public ConfirmationKeeper(long answerWithinMillis) {
-		this.answerWithinMillis = answerWithinMillis;
+	public ConfirmationManager(long answerTimeoutMillis) {
+		this.answerTimeoutMillis = answerTimeoutMillis;
 	}
 
 	/**
@@ -43,16 +43,16 @@
 	public List<ConfirmationCommand> handle(long nowMillis, ConfirmationEvent event) {
 		List<ConfirmationCommand> commands = new ArrayList<>();
 		if (event instanceof ConfirmationEvent.Confirmed confirmed) {
-			confirm(nowMillis, confirmed, commands);
+			onConfirmed(nowMillis, confirmed, commands);
 		}
 		else if (event instanceof ConfirmationEvent.CommitEnded ended) {
-			commitEnded(ended, commands);
+			onCommitEnded(ended, commands);
 		}
 		else if (event instanceof ConfirmationEvent.SteppedDown) {
-			stepDown(commands);
+			onSteppedDown(commands);
 		}
 		else {
-			answerLate(nowMillis, commands);
+			answerIfOverdue(nowMillis, commands);
 		}
 		return commands;
 	}
@@ -61,18 +61,18 @@
 	 * Whether the ending of a change is still open.
 	 * @return true from before the commit is sent until its ending is known
 	 */
-	public boolean holdsStarts() {
+	public boolean areStartsHeld() {
 		return this.pending != null;
 	}
 
-	private void confirm(long now, ConfirmationEvent.Confirmed event, List<ConfirmationCommand> commands) {
+	private void onConfirmed(long now, ConfirmationEvent.Confirmed event, List<ConfirmationCommand> commands) {
 		Plan plan = event.plan();
 		if (this.pending != null) {
 			commands.add(refuse(event.request(),
 					Refusal
 						.notRun(RefusalReason.STORE_UNKNOWN,
 								"the change by plan " + this.pending.plan + " is still open")
-						.withRetryAfter(COME_BACK)));
+						.withRetryAfter(RETRY_AFTER)));
 			return;
 		}
 		if (plan.effects().refusal().isPresent()) {
@@ -84,62 +84,62 @@
 			return;
 		}
 		Configuration next = plan.intent().applyTo(event.current());
-		this.pending = new Pending(event.request(), plan.id(), next, now + this.answerWithinMillis);
+		this.pending = new PendingChange(event.request(), plan.id(), next, now + this.answerTimeoutMillis);
 		commands.add(new ConfirmationCommand.HoldStarts());
 		commands.add(new ConfirmationCommand.Commit(plan, next));
 	}
 
-	private void commitEnded(ConfirmationEvent.CommitEnded ended, List<ConfirmationCommand> commands) {
+	private void onCommitEnded(ConfirmationEvent.CommitEnded ended, List<ConfirmationCommand> commands) {
 		if (this.pending == null || this.pending.next.revision() != ended.revision()) {
 			return;
 		}
-		Pending done = this.pending;
+		PendingChange change = this.pending;
 		this.pending = null;
-		if (ended.ending() == ConfirmationEvent.Ending.COMMITTED) {
-			commands.add(new ConfirmationCommand.Accepted(done.next));
+		if (ended.outcome() == ConfirmationEvent.CommitOutcome.COMMITTED) {
+			commands.add(new ConfirmationCommand.Accepted(change.next));
 		}
 		commands.add(new ConfirmationCommand.AllowStarts());
-		if (done.answered) {
+		if (change.answered) {
 			return;
 		}
-		commands.add(answer(done, ended.ending()));
+		commands.add(answer(change, ended.outcome()));
 	}
 
-	private static ConfirmationCommand answer(Pending done, ConfirmationEvent.Ending ending) {
-		return switch (ending) {
-			case COMMITTED -> new ConfirmationCommand.AnswerAccepted(done.request, done.next.revision());
+	private static ConfirmationCommand answer(PendingChange change, ConfirmationEvent.CommitOutcome outcome) {
+		return switch (outcome) {
+			case COMMITTED -> new ConfirmationCommand.AnswerAccepted(change.request, change.next.revision());
 			case SUPERSEDED ->
-				refuse(done.request, Refusal.notRun(RefusalReason.SUPERSEDED, "another change was committed first"));
+				refuse(change.request, Refusal.notRun(RefusalReason.SUPERSEDED, "another change was committed first"));
 			case NOT_COMMITTED ->
-				refuse(done.request, Refusal.notRun(RefusalReason.STORE_AWAY, "the table did not take the change")
-					.withRetryAfter(COME_BACK));
+				refuse(change.request, Refusal.notRun(RefusalReason.STORE_AWAY, "the table did not take the change")
+					.withRetryAfter(RETRY_AFTER));
 		};
 	}
 
-	private void stepDown(List<ConfirmationCommand> commands) {
+	private void onSteppedDown(List<ConfirmationCommand> commands) {
 		if (this.pending == null) {
 			return;
 		}
 		if (!this.pending.answered) {
-			commands.add(unknown(this.pending));
+			commands.add(refuseUnknownOutcome(this.pending));
 		}
 		this.pending = null;
 	}
 
-	private void answerLate(long now, List<ConfirmationCommand> commands) {
-		if (this.pending == null || this.pending.answered || now < this.pending.answerBy) {
+	private void answerIfOverdue(long now, List<ConfirmationCommand> commands) {
+		if (this.pending == null || this.pending.answered || now < this.pending.answerDeadlineMillis) {
 			return;
 		}
 		this.pending.answered = true;
-		commands.add(unknown(this.pending));
+		commands.add(refuseUnknownOutcome(this.pending));
 	}
 
-	private static ConfirmationCommand unknown(Pending open) {
-		return refuse(open.request,
+	private static ConfirmationCommand refuseUnknownOutcome(PendingChange change) {
+		return refuse(change.request,
 				Refusal
 					.mayHaveRun(RefusalReason.STORE_UNKNOWN,
-							"the table has not said whether revision " + open.next.revision() + " took effect")
-					.withRetryAfter(COME_BACK));
+							"the table has not said whether revision " + change.next.revision() + " took effect")
+					.withRetryAfter(RETRY_AFTER));
 	}
 
 	private static Refusal superseded(long planned, long current) {
@@ -151,7 +151,7 @@
 		return new ConfirmationCommand.AnswerRefused(request, refusal);
 	}
 
-	private static final class Pending {
+	private static final class PendingChange {
 
 		private final long request;
 
@@ -159,15 +159,15 @@
 
 		private final Configuration next;
 
-		private final long answerBy;
+		private final long answerDeadlineMillis;
 
 		private boolean answered;
 
-		Pending(long request, String plan, Configuration next, long answerBy) {
+		PendingChange(long request, String plan, Configuration next, long answerDeadlineMillis) {
 			this.request = request;
 			this.plan = plan;
 			this.next = next;
-			this.answerBy = answerBy;
+			this.answerDeadlineMillis = answerDeadlineMillis;
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
@@ -128,7 +128,7 @@
 	}
 
 	boolean checkpoints() {
-		return this.spec.isEmpty() || this.spec.get().checkpoints();
+		return this.spec.isEmpty() || this.spec.get().savesCheckpoints();
 	}
 
 	Optional<HeldMember> held() {
--- a/core/src/main/java/org/almondmount/intake/IntakePolicy.java
+++ b/core/src/main/java/org/almondmount/intake/IntakePolicy.java
@@ -14,15 +14,15 @@
  * to the end: refused then, the caller would be lost for certain.
  *
  * @param waitShare part of a caller's time for which a job that was sent nowhere waits
- * @param lastTryMillis a caller with no more time left than that makes its last try
- * @param mostWaiting jobs that wait at once; more would be written so late after the
+ * @param finalAttemptMillis a caller with no more time left than that makes its last try
+ * @param maxWaiting jobs that wait at once; more would be written so late after the
  * store's return that their callers are gone
- * @param usualPatienceMillis a caller's time where it does not say
- * @param wayBackMillis kept back of a caller's time for the way of the answer
- * @param comeBackMillis when a caller may come back that can't wait here
+ * @param defaultTimeoutMillis a caller's time where it does not say
+ * @param responseMarginMillis kept back of a caller's time for the way of the answer
+ * @param retryAfterMillis when a caller may come back that can't wait here
  */
-public record IntakePolicy(double waitShare, long lastTryMillis, int mostWaiting, long usualPatienceMillis,
-		long wayBackMillis, long comeBackMillis) {
+public record IntakePolicy(double waitShare, long finalAttemptMillis, int maxWaiting, long defaultTimeoutMillis,
+		long responseMarginMillis, long retryAfterMillis) {
 
 	/**
 	 * With three eighths of its time for each, a caller of three seconds makes five
@@ -42,28 +42,29 @@
 	/**
 	 * Until when a job waits.
 	 * @param arrivedMillis when it came
-	 * @param patienceMillis the time that its caller gives
-	 * @param mayBeKept whether it was sent to the store and may be kept: no other entry
+	 * @param timeoutMillis the time that its caller gives
+	 * @param mayBeStored whether it was sent to the store and may be kept: no other entry
 	 * could say more, so that only the end of the caller's time ends the wait
 	 * @return a time of the same clock
 	 */
-	public long waitsUntil(long arrivedMillis, long patienceMillis, boolean mayBeKept) {
-		long answerable = Math.max(0, patienceMillis - this.wayBackMillis);
-		boolean toTheEnd = mayBeKept || patienceMillis <= this.lastTryMillis;
-		return arrivedMillis + (toTheEnd ? answerable : Math.min(answerable, (long) (patienceMillis * this.waitShare)));
+	public long waitDeadline(long arrivedMillis, long timeoutMillis, boolean mayBeStored) {
+		long usableMillis = Math.max(0, timeoutMillis - this.responseMarginMillis);
+		boolean waitsFullTimeout = mayBeStored || timeoutMillis <= this.finalAttemptMillis;
+		return arrivedMillis
+				+ (waitsFullTimeout ? usableMillis : Math.min(usableMillis, (long) (timeoutMillis * this.waitShare)));
 	}
 
 	/**
 	 * When a caller may come back. One that waited here does so at once: the next entry
 	 * lets it wait again, so that it is in line when the store returns. One that found no
 	 * place in the line comes later, unless its time would be over by then.
-	 * @param why why it is refused
-	 * @param patienceLeftMillis what is left of its time
+	 * @param reason why it is refused
+	 * @param remainingMillis what is left of its time
 	 * @return the time from now
 	 */
-	public Duration comeBackAfter(IntakeRefusal why, long patienceLeftMillis) {
-		boolean inTime = this.comeBackMillis + this.wayBackMillis < patienceLeftMillis;
-		return (inTime && !why.waited()) ? Duration.ofMillis(this.comeBackMillis) : Duration.ZERO;
+	public Duration retryAfter(IntakeRefusal reason, long remainingMillis) {
+		boolean retryFitsTimeout = this.retryAfterMillis + this.responseMarginMillis < remainingMillis;
+		return (retryFitsTimeout && !reason.hasWaited()) ? Duration.ofMillis(this.retryAfterMillis) : Duration.ZERO;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/intake/IntakeLine.java
+++ b/core/src/main/java/org/almondmount/intake/IntakeQueue.java
@@ -17,37 +17,37 @@
  *
  * @param <T> what waits
  */
-public final class IntakeLine<T> {
+public final class IntakeQueue<T> {
 
-	private static final Comparator<Place<?>> ORDER = Comparator.comparingInt((Place<?> place) -> place.priority())
-		.thenComparingLong(Place::number);
+	private static final Comparator<Item<?>> ORDER = Comparator.comparingInt((Item<?> place) -> place.priority())
+		.thenComparingLong(Item::sequenceNumber);
 
-	private final TreeSet<Place<T>> places = new TreeSet<>(ORDER);
+	private final TreeSet<Item<T>> items = new TreeSet<>(ORDER);
 
-	private final int most;
+	private final int capacity;
 
-	private long lastNumber;
+	private long lastSequenceNumber;
 
 	/**
 	 * Makes an empty line.
-	 * @param most how many may wait
+	 * @param capacity how many may wait
 	 */
-	public IntakeLine(int most) {
-		this.most = most;
+	public IntakeQueue(int capacity) {
+		this.capacity = capacity;
 	}
 
 	/**
 	 * Adds something at the end of its priority.
 	 * @param priority 0 for the most urgent
-	 * @param untilMillis until when it waits
-	 * @param waiting what waits
+	 * @param expiresAtMillis until when it waits
+	 * @param value what waits
 	 * @return false where the line is full; then it is not added
 	 */
-	public boolean add(int priority, long untilMillis, T waiting) {
-		if (this.places.size() >= this.most) {
+	public boolean add(int priority, long expiresAtMillis, T value) {
+		if (this.items.size() >= this.capacity) {
 			return false;
 		}
-		this.places.add(new Place<>(priority, ++this.lastNumber, untilMillis, waiting));
+		this.items.add(new Item<>(priority, ++this.lastSequenceNumber, expiresAtMillis, value));
 		return true;
 	}
 
@@ -57,10 +57,10 @@
 	 * @return the first, or empty where nothing that waits is ready
 	 */
 	public Optional<T> takeFirst(Predicate<T> ready) {
-		for (Place<T> place : this.places) {
-			if (ready.test(place.waiting())) {
-				this.places.remove(place);
-				return Optional.of(place.waiting());
+		for (Item<T> item : this.items) {
+			if (ready.test(item.value())) {
+				this.items.remove(item);
+				return Optional.of(item.value());
 			}
 		}
 		return Optional.empty();
@@ -73,24 +73,24 @@
 	 */
 	public List<T> takeExpired(long nowMillis) {
 		List<T> expired = new ArrayList<>();
-		this.places.removeIf((place) -> {
-			boolean over = place.untilMillis() <= nowMillis;
-			if (over) {
-				expired.add(place.waiting());
+		this.items.removeIf((item) -> {
+			boolean isExpired = item.expiresAtMillis() <= nowMillis;
+			if (isExpired) {
+				expired.add(item.value());
 			}
-			return over;
+			return isExpired;
 		});
 		return expired;
 	}
 
 	public int size() {
-		return this.places.size();
+		return this.items.size();
 	}
 
 	/**
 	 * One that waits.
 	 */
-	private record Place<T>(int priority, long number, long untilMillis, T waiting) {
+	private record Item<T>(int priority, long sequenceNumber, long expiresAtMillis, T value) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
+++ b/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
@@ -23,19 +23,19 @@
 
 	private final String remedy;
 
-	private final boolean waited;
+	private final boolean hasWaited;
 
 	IntakeRefusal(String remedy, boolean waited) {
 		this.remedy = remedy;
-		this.waited = waited;
+		this.hasWaited = waited;
 	}
 
 	/**
 	 * Whether its caller waited in the line before it was refused.
 	 * @return whether it did
 	 */
-	public boolean waited() {
-		return this.waited;
+	public boolean hasWaited() {
+		return this.hasWaited;
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Evictor.java
@@ -110,7 +110,7 @@
 		if (!gang.isActive()) {
 			return accelerators * BEFORE_START_COST_SECONDS;
 		}
-		if (gang.job.spec.checkpoints()) {
+		if (gang.job.spec.savesCheckpoints()) {
 			return accelerators * RESTART_COST_SECONDS;
 		}
 		return accelerators * (RESTART_COST_SECONDS + (this.context.now - gang.stageSince) / 1000.0);
--- a/core/src/main/java/org/almondmount/jobs/impl/FleetCapacity.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/FleetCapacity.java
@@ -104,7 +104,7 @@
 	}
 
 	static int countFitting(Resources need, Resources capacity) {
-		int count = GangShape.LARGEST_GANG;
+		int count = GangShape.MAX_MEMBERS;
 		count = (need.accelerators() != 0) ? Math.min(count, capacity.accelerators() / need.accelerators()) : count;
 		count = (need.cores() != 0) ? Math.min(count, capacity.cores() / need.cores()) : count;
 		return (need.memoryMb() != 0) ? Math.min(count, capacity.memoryMb() / need.memoryMb()) : count;
--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -223,7 +223,7 @@
 		}
 		enterStage(gang, Gang.Stage.STOPPING);
 		gang.stopReason = reason;
-		boolean checkpoints = gang.job.spec.checkpoints();
+		boolean checkpoints = gang.job.spec.savesCheckpoints();
 		for (Member member : gang.members) {
 			if (member.outcome == null && checkpoints) {
 				this.context.send(new JobCommand.Suspend(gang.attempt, member.index, member.workerId));
--- a/core/src/main/java/org/almondmount/jobs/impl/GuaranteeReservation.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GuaranteeReservation.java
@@ -97,7 +97,7 @@
 		}
 
 		int slots(Resources need) {
-			int slots = GangShape.LARGEST_GANG;
+			int slots = GangShape.MAX_MEMBERS;
 			slots = (need.accelerators() != 0) ? Math.min(slots, accelerators() / need.accelerators()) : slots;
 			slots = (need.cores() != 0) ? Math.min(slots, cores() / need.cores()) : slots;
 			return (need.memoryMb() != 0) ? Math.min(slots, memoryMb() / need.memoryMb()) : slots;
--- a/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
@@ -124,9 +124,9 @@
 		int withoutCheckpoints = 0;
 		for (Gang gang : gangs(zone)) {
 			boolean fits = fitsElsewhere(gang, zone, allocations);
-			boolean mayMove = gang.job.spec.checkpoints() || gang.job.spec.repeatable();
+			boolean mayMove = gang.job.spec.savesCheckpoints() || gang.job.spec.repeatable();
 			((fits && mayMove) ? moves : stops).add(gang.job.id);
-			withoutCheckpoints += gang.job.spec.checkpoints() ? 0 : 1;
+			withoutCheckpoints += gang.job.spec.savesCheckpoints() ? 0 : 1;
 		}
 		List<String> remarks = new ArrayList<>();
 		remarks.add("Nothing starts in zone " + id + " from the moment it is confirmed.");
--- a/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/Rescheduler.java
@@ -280,7 +280,7 @@
 	private boolean mayPreemptForFairShare(Gang gang, Map<CustomerQueue, Double> shares, double shareAfterStart) {
 		boolean ranLongEnough = !gang.preemptionProtected && gang.stage == Gang.Stage.RUNNING
 				&& this.context.now - gang.stageSince > MIN_RUN_BEFORE_PREEMPTION_MILLIS;
-		if (!ranLongEnough || !gang.job.spec.checkpoints() || this.evictor.wasRecentlyPreempted(gang)) {
+		if (!ranLongEnough || !gang.job.spec.savesCheckpoints() || this.evictor.wasRecentlyPreempted(gang)) {
 			return false;
 		}
 		CustomerQueue owner = this.waiting.customer(gang.job.spec.customer());
--- a/core/src/main/java/org/almondmount/jobs/impl/SlotIndex.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/SlotIndex.java
@@ -60,7 +60,7 @@
 	}
 
 	void update(WorkerNode worker) {
-		int slots = worker.isAccepting() ? Math.min(GangShape.LARGEST_GANG, worker.slots(this.taskSize, this.view)) : 0;
+		int slots = worker.isAccepting() ? Math.min(GangShape.MAX_MEMBERS, worker.slots(this.taskSize, this.view)) : 0;
 		this.workerSlots = grow(this.workerSlots, worker.ordinal);
 		int change = slots - this.workerSlots[worker.ordinal];
 		if (change == 0) {
--- a/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/ZoneDrain.java
@@ -91,7 +91,7 @@
 
 	private void suspendCheckpointable(Set<Gang> gangs, String reason) {
 		for (Gang gang : gangs) {
-			if (gang.job.spec.checkpoints() && gang.isActive()) {
+			if (gang.job.spec.savesCheckpoints() && gang.isActive()) {
 				this.gangRunner.suspend(gang, reason, graceMillis());
 			}
 		}
--- a/core/src/main/java/org/almondmount/membership/EntryDirectory.java
+++ b/core/src/main/java/org/almondmount/membership/EntryDirectory.java
@@ -16,27 +16,27 @@
  */
 public final class EntryDirectory {
 
-	private static final long FIRST_RETRY_MILLIS = 1_000;
+	private static final long INITIAL_RETRY_MILLIS = 1_000;
 
-	private static final long LONGEST_RETRY_MILLIS = 5_000;
+	private static final long MAX_RETRY_MILLIS = 5_000;
 
-	private static final int MOST_ENTRIES = 256;
+	private static final int MAX_ENTRIES = 256;
 
 	private final String ownAddress;
 
-	private final long forgetAfterMillis;
+	private final long retentionMillis;
 
-	private final Map<String, Known> known = new LinkedHashMap<>();
+	private final Map<String, KnownEntry> knownEntries = new LinkedHashMap<>();
 
 	/**
 	 * Makes a directory that knows nobody.
 	 * @param ownAddress this entry's peer address, which is never dialled
-	 * @param forgetAfterMillis time after which an address that does not answer is
+	 * @param retentionMillis time after which an address that does not answer is
 	 * forgotten
 	 */
-	public EntryDirectory(String ownAddress, long forgetAfterMillis) {
+	public EntryDirectory(String ownAddress, long retentionMillis) {
 		this.ownAddress = ownAddress;
-		this.forgetAfterMillis = forgetAfterMillis;
+		this.retentionMillis = retentionMillis;
 	}
 
 	/**
@@ -44,12 +44,12 @@
 	 * @param nowMillis the driver's monotonic time
 	 * @param address the address, {@code ip:port}
 	 */
-	public void named(long nowMillis, String address) {
+	public void addAddress(long nowMillis, String address) {
 		if (address.isEmpty() || address.equals(this.ownAddress)) {
 			return;
 		}
-		if (!this.known.containsKey(address) && this.known.size() < MOST_ENTRIES) {
-			this.known.put(address, new Known(nowMillis));
+		if (!this.knownEntries.containsKey(address) && this.knownEntries.size() < MAX_ENTRIES) {
+			this.knownEntries.put(address, new KnownEntry(nowMillis));
 		}
 	}
 
@@ -58,12 +58,12 @@
 	 * @param nowMillis the driver's monotonic time
 	 * @param address the entry's peer address
 	 */
-	public void connected(long nowMillis, String address) {
-		named(nowMillis, address);
-		Known entry = this.known.get(address);
+	public void onConnected(long nowMillis, String address) {
+		addAddress(nowMillis, address);
+		KnownEntry entry = this.knownEntries.get(address);
 		if (entry != null) {
 			entry.connections++;
-			entry.retryMillis = FIRST_RETRY_MILLIS;
+			entry.retryMillis = INITIAL_RETRY_MILLIS;
 		}
 	}
 
@@ -72,12 +72,12 @@
 	 * @param nowMillis the driver's monotonic time
 	 * @param address the entry's peer address
 	 */
-	public void disconnected(long nowMillis, String address) {
-		Known entry = this.known.get(address);
+	public void onDisconnected(long nowMillis, String address) {
+		KnownEntry entry = this.knownEntries.get(address);
 		if (entry != null) {
 			entry.connections = Math.max(0, entry.connections - 1);
-			entry.lastGood = nowMillis;
-			entry.nextDial = nowMillis + FIRST_RETRY_MILLIS;
+			entry.lastContactMillis = nowMillis;
+			entry.nextDialMillis = nowMillis + INITIAL_RETRY_MILLIS;
 		}
 	}
 
@@ -85,8 +85,8 @@
 	 * The entry said that it shuts down.
 	 * @param address the entry's peer address
 	 */
-	public void left(String address) {
-		this.known.remove(address);
+	public void onShutdownAnnounced(String address) {
+		this.knownEntries.remove(address);
 	}
 
 	/**
@@ -94,30 +94,30 @@
 	 * @param nowMillis the driver's monotonic time
 	 * @return the addresses
 	 */
-	public List<String> due(long nowMillis) {
-		List<String> due = new ArrayList<>();
-		this.known.values()
-			.removeIf((entry) -> entry.connections == 0 && nowMillis - entry.lastGood > this.forgetAfterMillis);
-		for (Map.Entry<String, Known> each : this.known.entrySet()) {
-			Known entry = each.getValue();
-			if (entry.connections > 0 || nowMillis < entry.nextDial) {
+	public List<String> addressesToDial(long nowMillis) {
+		List<String> addresses = new ArrayList<>();
+		this.knownEntries.values()
+			.removeIf((entry) -> entry.connections == 0 && nowMillis - entry.lastContactMillis > this.retentionMillis);
+		for (Map.Entry<String, KnownEntry> each : this.knownEntries.entrySet()) {
+			KnownEntry entry = each.getValue();
+			if (entry.connections > 0 || nowMillis < entry.nextDialMillis) {
 				continue;
 			}
-			entry.nextDial = nowMillis + entry.retryMillis;
-			entry.retryMillis = Math.min(entry.retryMillis * 2, LONGEST_RETRY_MILLIS);
-			due.add(each.getKey());
+			entry.nextDialMillis = nowMillis + entry.retryMillis;
+			entry.retryMillis = Math.min(entry.retryMillis * 2, MAX_RETRY_MILLIS);
+			addresses.add(each.getKey());
 		}
-		return due;
+		return addresses;
 	}
 
 	/**
 	 * The addresses to pass on: this entry's own and those it is connected to.
 	 * @return the addresses in order
 	 */
-	public List<String> passOn() {
+	public List<String> addressesToAnnounce() {
 		TreeSet<String> addresses = new TreeSet<>();
 		addresses.add(this.ownAddress);
-		this.known.forEach((address, entry) -> {
+		this.knownEntries.forEach((address, entry) -> {
 			if (entry.connections > 0) {
 				addresses.add(address);
 			}
@@ -125,18 +125,18 @@
 		return List.copyOf(addresses);
 	}
 
-	private static final class Known {
+	private static final class KnownEntry {
 
-		private long lastGood;
+		private long lastContactMillis;
 
-		private long nextDial = Long.MIN_VALUE;
+		private long nextDialMillis = Long.MIN_VALUE;
 
-		private long retryMillis = FIRST_RETRY_MILLIS;
+		private long retryMillis = INITIAL_RETRY_MILLIS;
 
 		private int connections;
 
-		Known(long now) {
-			this.lastGood = now;
+		KnownEntry(long now) {
+			this.lastContactMillis = now;
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/model/Adjacency.java
+++ b/core/src/main/java/org/almondmount/model/Adjacency.java
@@ -19,15 +19,15 @@
 
 	/**
 	 * Whether two workers are close enough to hold members of the same gang.
-	 * @param one the first worker
-	 * @param other the second worker
+	 * @param first the first worker
+	 * @param second the second worker
 	 * @return true when the pair satisfies this adjacency
 	 */
-	public boolean joins(WorkerInfo one, WorkerInfo other) {
+	public boolean isSatisfiedBy(WorkerInfo first, WorkerInfo second) {
 		return switch (this) {
-			case WORKER -> one.id().equals(other.id());
-			case RACK -> one.zone().equals(other.zone()) && one.rack().equals(other.rack());
-			case ZONE -> one.zone().equals(other.zone());
+			case WORKER -> first.id().equals(second.id());
+			case RACK -> first.zone().equals(second.zone()) && first.rack().equals(second.rack());
+			case ZONE -> first.zone().equals(second.zone());
 			case ANY -> true;
 		};
 	}
--- a/core/src/main/java/org/almondmount/model/CustomerId.java
+++ b/core/src/main/java/org/almondmount/model/CustomerId.java
@@ -8,7 +8,7 @@
 public record CustomerId(String value) implements Comparable<CustomerId> {
 
 	public CustomerId {
-		Names.require("customer", value);
+		Identifiers.require("customer", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/EntryId.java
+++ b/core/src/main/java/org/almondmount/model/EntryId.java
@@ -8,7 +8,7 @@
 public record EntryId(String value) implements Comparable<EntryId> {
 
 	public EntryId {
-		Names.require("entry", value);
+		Identifiers.require("entry", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/Names.java
+++ b/core/src/main/java/org/almondmount/model/Identifiers.java
@@ -7,29 +7,29 @@
  * could make it pass for another. Refusing everything but letters, digits, dot, dash and
  * underscore rules that out once, at the place where the identifier is made.
  */
-final class Names {
+final class Identifiers {
 
-	private static final int LONGEST = 120;
+	private static final int MAX_LENGTH = 120;
 
-	private Names() {
+	private Identifiers() {
 	}
 
-	static void require(String what, String value) {
+	static void require(String kind, String value) {
 		if (value == null || value.isEmpty()) {
-			throw new InvalidValueException(what, "is empty; give it a name");
+			throw new InvalidValueException(kind, "is empty; give it a name");
 		}
-		if (value.length() > LONGEST) {
-			throw new InvalidValueException(what, "has " + value.length() + " characters; use at most " + LONGEST);
+		if (value.length() > MAX_LENGTH) {
+			throw new InvalidValueException(kind, "has " + value.length() + " characters; use at most " + MAX_LENGTH);
 		}
 		for (int i = 0; i < value.length(); i++) {
-			if (!allowed(value.charAt(i))) {
-				throw new InvalidValueException(what, "has the character at position " + (i + 1)
+			if (!isAllowed(value.charAt(i))) {
+				throw new InvalidValueException(kind, "has the character at position " + (i + 1)
 						+ " outside letters, digits, '.', '-' and '_'; choose another name");
 			}
 		}
 	}
 
-	private static boolean allowed(char c) {
+	private static boolean isAllowed(char c) {
 		boolean letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
 		boolean digit = c >= '0' && c <= '9';
 		return letter || digit || c == '.' || c == '-' || c == '_';
--- a/core/src/main/java/org/almondmount/model/JobId.java
+++ b/core/src/main/java/org/almondmount/model/JobId.java
@@ -8,7 +8,7 @@
 public record JobId(String value) implements Comparable<JobId> {
 
 	public JobId {
-		Names.require("job", value);
+		Identifiers.require("job", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/JobSpec.java
+++ b/core/src/main/java/org/almondmount/model/JobSpec.java
@@ -19,7 +19,7 @@
 		Duration declaredRunTime, Duration checkpointEvery, String program) {
 
 	public JobSpec {
-		Names.require("jobClass", jobClass);
+		Identifiers.require("jobClass", jobClass);
 		if (declaredRunTime.isNegative() || declaredRunTime.isZero()) {
 			throw new InvalidValueException("declaredRunTime", "is not above zero; give an estimate, such as 10m");
 		}
@@ -32,7 +32,7 @@
 	 * Whether stopping it loses at most one checkpoint interval.
 	 * @return true if it checkpoints
 	 */
-	public boolean checkpoints() {
+	public boolean savesCheckpoints() {
 		return !this.checkpointEvery.isZero();
 	}
 
--- a/core/src/main/java/org/almondmount/model/RackId.java
+++ b/core/src/main/java/org/almondmount/model/RackId.java
@@ -8,7 +8,7 @@
 public record RackId(String value) implements Comparable<RackId> {
 
 	public RackId {
-		Names.require("rack", value);
+		Identifiers.require("rack", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/Refusal.java
+++ b/core/src/main/java/org/almondmount/model/Refusal.java
@@ -6,11 +6,11 @@
  * A refusal as the caller gets it.
  *
  * @param reason the kind
- * @param ran what the caller can rely on
+ * @param runState what the caller can rely on
  * @param detail what was found, in one sentence
  * @param retryAfter when to come back; zero where waiting does not help
  */
-public record Refusal(RefusalReason reason, RunState ran, String detail, Duration retryAfter) {
+public record Refusal(RefusalReason reason, RunState runState, String detail, Duration retryAfter) {
 
 	public Refusal {
 		if (retryAfter.isNegative()) {
@@ -39,7 +39,7 @@
 	}
 
 	public Refusal withRetryAfter(Duration time) {
-		return new Refusal(this.reason, this.ran, this.detail, time);
+		return new Refusal(this.reason, this.runState, this.detail, time);
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/model/RefusalReason.java
+++ b/core/src/main/java/org/almondmount/model/RefusalReason.java
@@ -128,7 +128,7 @@
 	 * The reason as it stands in answers, logs and counters, such as {@code queue-full}.
 	 * @return the word
 	 */
-	public String word() {
+	public String externalName() {
 		return name().toLowerCase(Locale.ROOT).replace('_', '-');
 	}
 
--- a/core/src/main/java/org/almondmount/model/RequestId.java
+++ b/core/src/main/java/org/almondmount/model/RequestId.java
@@ -8,7 +8,7 @@
 public record RequestId(String value) implements Comparable<RequestId> {
 
 	public RequestId {
-		Names.require("request", value);
+		Identifiers.require("request", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/Resources.java
+++ b/core/src/main/java/org/almondmount/model/Resources.java
@@ -20,11 +20,12 @@
 
 	/**
 	 * Whether this amount fits into another.
-	 * @param room what is there
+	 * @param capacity what is there
 	 * @return true when no dimension exceeds the room
 	 */
-	public boolean fitsIn(Resources room) {
-		return this.accelerators <= room.accelerators && this.cores <= room.cores && this.memoryMb <= room.memoryMb;
+	public boolean fitsIn(Resources capacity) {
+		return this.accelerators <= capacity.accelerators && this.cores <= capacity.cores
+				&& this.memoryMb <= capacity.memoryMb;
 	}
 
 	public Resources plus(Resources other) {
--- a/core/src/main/java/org/almondmount/model/RunState.java
+++ b/core/src/main/java/org/almondmount/model/RunState.java
@@ -11,18 +11,18 @@
 	/** It may have run, may still run, or may have run in part. */
 	MAY_HAVE_RUN("may-have-run");
 
-	private final String word;
+	private final String externalName;
 
-	RunState(String word) {
-		this.word = word;
+	RunState(String externalName) {
+		this.externalName = externalName;
 	}
 
 	/**
 	 * The word used in answers.
 	 * @return the word
 	 */
-	public String word() {
-		return this.word;
+	public String externalName() {
+		return this.externalName;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/model/TargetId.java
+++ b/core/src/main/java/org/almondmount/model/TargetId.java
@@ -9,7 +9,7 @@
 public record TargetId(String value) implements Comparable<TargetId> {
 
 	public TargetId {
-		Names.require("target", value);
+		Identifiers.require("target", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/WorkerId.java
+++ b/core/src/main/java/org/almondmount/model/WorkerId.java
@@ -8,7 +8,7 @@
 public record WorkerId(String value) implements Comparable<WorkerId> {
 
 	public WorkerId {
-		Names.require("worker", value);
+		Identifiers.require("worker", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/ZoneId.java
+++ b/core/src/main/java/org/almondmount/model/ZoneId.java
@@ -8,7 +8,7 @@
 public record ZoneId(String value) implements Comparable<ZoneId> {
 
 	public ZoneId {
-		Names.require("availability zone", value);
+		Identifiers.require("availability zone", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/requests/RequestCommand.java
+++ b/core/src/main/java/org/almondmount/requests/RequestCommand.java
@@ -10,7 +10,8 @@
 public sealed interface RequestCommand {
 
 	/**
-	 * Claim the request's key in the table; answer with {@link RequestEvent.KeyDecided}.
+	 * Claim the request's key in the table; answer with
+	 * {@link RequestEvent.KeyClaimEnded}.
 	 */
 	record ClaimKey(RequestId request) implements RequestCommand {
 	}
@@ -45,12 +46,12 @@
 	record CountRetry(RetryReason reason) implements RequestCommand {
 	}
 
-	/** Send {@link RequestEvent.TimePassed} at this time at the latest. */
+	/** Send {@link RequestEvent.Tick} at this time at the latest. */
 	record WakeAt(long atMillis) implements RequestCommand {
 	}
 
 	/** Something that an operator should be able to read, such as an ejected target. */
-	record Explain(String subject, String what) implements RequestCommand {
+	record LogDecision(String subject, String message) implements RequestCommand {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/requests/RequestEvent.java
+++ b/core/src/main/java/org/almondmount/requests/RequestEvent.java
@@ -28,11 +28,11 @@
 	}
 
 	/** The slots that the target lends to this entry from now on. */
-	record TargetSlots(TargetId target, int slots) implements RequestEvent {
+	record TargetSlotsChanged(TargetId target, int slots) implements RequestEvent {
 	}
 
 	/** The target takes no new work. */
-	record TargetLeaving(TargetId target) implements RequestEvent {
+	record TargetDraining(TargetId target) implements RequestEvent {
 	}
 
 	/**
@@ -46,11 +46,11 @@
 	}
 
 	/** The target did not start it and never will. */
-	record NotStarted(RequestId request, int attempt, TargetId target, String why) implements RequestEvent {
+	record NotStarted(RequestId request, int attempt, TargetId target, String reason) implements RequestEvent {
 	}
 
 	/** The target sent it to its instance and can't tell how it ended. */
-	record Broken(RequestId request, int attempt, TargetId target, String why) implements RequestEvent {
+	record Broken(RequestId request, int attempt, TargetId target, String reason) implements RequestEvent {
 	}
 
 	/** Nothing was sent: the connection's ring was full or closed. */
@@ -58,7 +58,7 @@
 	}
 
 	/** What the table said about the key of a request. */
-	record KeyDecided(RequestId request, KeyDecision decision) implements RequestEvent {
+	record KeyClaimEnded(RequestId request, KeyClaimOutcome outcome) implements RequestEvent {
 	}
 
 	/** The accepted configuration, whole. */
@@ -66,7 +66,7 @@
 	}
 
 	/** The moment asked for by {@link RequestCommand.WakeAt}, or any regular tick. */
-	record TimePassed() implements RequestEvent {
+	record Tick() implements RequestEvent {
 	}
 
 	/** The process shuts down: refuse what arrives, finish what is there. */
@@ -89,7 +89,7 @@
 	/**
 	 * What the table said about a key.
 	 */
-	enum KeyDecision {
+	enum KeyClaimOutcome {
 
 		/** The key is this request's: send it. */
 		CLAIMED,
--- a/core/src/main/java/org/almondmount/requests/RequestRouter.java
+++ b/core/src/main/java/org/almondmount/requests/RequestRouter.java
@@ -22,7 +22,7 @@
 	 * Requests that have not yet had their ending.
 	 * @return a count
 	 */
-	int outstanding();
+	int outstandingCount();
 
 	/**
 	 * Why the request stands where it does or ended as it did, newest last.
--- a/core/src/main/java/org/almondmount/requests/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Admission.java
@@ -15,9 +15,9 @@
  */
 final class Admission {
 
-	private static final double UNKNOWN_CUSTOMERS_WEIGHT = 1;
+	private static final double UNKNOWN_CUSTOMER_WEIGHT = 1;
 
-	private static final long LONGEST_RETRY_AFTER_MILLIS = 30_000;
+	private static final long MAX_RETRY_AFTER_MILLIS = 30_000;
 
 	private final RequestPolicy policy;
 
@@ -30,7 +30,7 @@
 
 	static double weight(Configuration configuration, CustomerId customer) {
 		Customer known = configuration.customers().get(customer);
-		return (known != null) ? known.weight() : UNKNOWN_CUSTOMERS_WEIGHT;
+		return (known != null) ? known.weight() : UNKNOWN_CUSTOMER_WEIGHT;
 	}
 
 	/**
@@ -39,44 +39,46 @@
 	 * @param configuration the accepted configuration
 	 * @param customer its customer
 	 * @param deadline its deadline
-	 * @param claiming requests whose keys are being claimed, which need a place too
+	 * @param pendingClaims requests whose keys are being claimed, which need a place too
 	 * @param slots all slots that serve
 	 * @return a refusal, or empty if it may wait
 	 */
-	Optional<Refusal> check(long now, Configuration configuration, CustomerId customer, long deadline, int claiming,
-			int slots) {
+	Optional<Refusal> check(long now, Configuration configuration, CustomerId customer, long deadline,
+			int pendingClaims, int slots) {
 		if (deadline <= now) {
 			return Optional.of(Refusal.notRun(RefusalReason.DEADLINE, "the deadline had passed on arrival"));
 		}
 		int waiting = this.queue.size(customer);
-		double wait = expectedWait(configuration, customer, slots);
-		if (waiting >= places(configuration, customer)) {
+		double waitMillis = expectedWaitMillis(configuration, customer, slots);
+		if (waiting >= maxWaiting(configuration, customer)) {
 			return Optional.of(Refusal
 				.notRun(RefusalReason.CUSTOMER_LIMIT, "the customer already has " + waiting + " requests waiting")
-				.withRetryAfter(retryAfter(wait)));
+				.withRetryAfter(retryAfter(waitMillis)));
 		}
-		if (this.queue.size() + claiming >= this.policy.queueLimit()) {
+		if (this.queue.size() + pendingClaims >= this.policy.queueLimit()) {
 			return Optional
 				.of(Refusal.notRun(RefusalReason.QUEUE_FULL, "the entry already has its most requests waiting")
-					.withRetryAfter(retryAfter(wait)));
+					.withRetryAfter(retryAfter(waitMillis)));
 		}
-		if (this.queue.hasMeasured(customer) && now + wait > deadline) {
-			return Optional.of(Refusal
-				.notRun(RefusalReason.DEADLINE,
-						"the expected wait of " + (long) wait + " ms is longer than the time to the deadline")
-				.withRetryAfter(retryAfter(wait)));
+		if (this.queue.hasEstimate(customer) && now + waitMillis > deadline) {
+			return Optional.of(
+					Refusal
+						.notRun(RefusalReason.DEADLINE,
+								"the expected wait of " + (long) waitMillis
+										+ " ms is longer than the time to the deadline")
+						.withRetryAfter(retryAfter(waitMillis)));
 		}
 		return Optional.empty();
 	}
 
 	/**
 	 * The time to come back after a refusal for load.
-	 * @param wait the expected wait in milliseconds
+	 * @param waitMillis the expected wait in milliseconds
 	 * @return a time within sensible bounds
 	 */
-	Duration retryAfter(double wait) {
-		long least = this.policy.busyRetryAfter().toMillis();
-		return Duration.ofMillis((long) Math.min(LONGEST_RETRY_AFTER_MILLIS, Math.max(least, wait)));
+	Duration retryAfter(double waitMillis) {
+		long minMillis = this.policy.busyRetryAfter().toMillis();
+		return Duration.ofMillis((long) Math.min(MAX_RETRY_AFTER_MILLIS, Math.max(minMillis, waitMillis)));
 	}
 
 	/**
@@ -85,7 +87,7 @@
 	 * @param slots all slots that serve
 	 * @return a count, at least 1
 	 */
-	int mostInFlight(Configuration configuration, int slots) {
+	int maxInFlight(Configuration configuration, int slots) {
 		if (configuration.customers().size() < 2) {
 			return Integer.MAX_VALUE;
 		}
@@ -94,25 +96,25 @@
 
 	// The shares of all customers add up to the whole queue, so that a customer within
 	// its share finds room whatever the others do.
-	private int places(Configuration configuration, CustomerId customer) {
-		double sum = configuration.customers().containsKey(customer) ? 0 : UNKNOWN_CUSTOMERS_WEIGHT;
+	private int maxWaiting(Configuration configuration, CustomerId customer) {
+		double totalWeight = configuration.customers().containsKey(customer) ? 0 : UNKNOWN_CUSTOMER_WEIGHT;
 		for (Customer known : configuration.customers().values()) {
-			sum += known.weight();
+			totalWeight += known.weight();
 		}
-		int share = (int) Math.floor(this.policy.queueLimit() * weight(configuration, customer) / sum);
-		return Math.max(this.policy.leastQueuePerCustomer(), share);
+		int share = (int) Math.floor(this.policy.queueLimit() * weight(configuration, customer) / totalWeight);
+		return Math.max(this.policy.minQueuePerCustomer(), share);
 	}
 
-	private double expectedWait(Configuration configuration, CustomerId customer, int slots) {
-		double own = weight(configuration, customer);
-		double rivals = 0;
-		for (CustomerId rival : this.queue.turn()) {
-			if (!rival.equals(customer)) {
-				rivals += weight(configuration, rival);
+	private double expectedWaitMillis(Configuration configuration, CustomerId customer, int slots) {
+		double ownWeight = weight(configuration, customer);
+		double otherWeights = 0;
+		for (CustomerId other : this.queue.customersByVirtualTime()) {
+			if (!other.equals(customer)) {
+				otherWeights += weight(configuration, other);
 			}
 		}
-		double usableSlots = Math.max(1, slots) * own / (own + rivals);
-		return this.queue.size(customer) * this.queue.usualMillis(customer) / usableSlots;
+		double usableSlots = Math.max(1, slots) * ownWeight / (ownWeight + otherWeights);
+		return this.queue.size(customer) * this.queue.estimatedMillis(customer) / usableSlots;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/requests/impl/DefaultRequestRouter.java
+++ b/core/src/main/java/org/almondmount/requests/impl/DefaultRequestRouter.java
@@ -26,13 +26,13 @@
  */
 public final class DefaultRequestRouter implements RequestRouter {
 
-	private static final long SWEEP_MILLIS = 50;
+	private static final long SWEEP_INTERVAL_MILLIS = 50;
 
 	private final RouterState state;
 
 	private final Admission admission;
 
-	private final Endings endings;
+	private final RequestCompletion completion;
 
 	private final Dispatcher dispatcher;
 
@@ -42,100 +42,100 @@
 
 	private boolean draining;
 
-	private long wakeAskedFor = Long.MAX_VALUE;
+	private long requestedWakeUpMillis = Long.MAX_VALUE;
 
-	private long sweptAt = Long.MIN_VALUE / 2;
+	private long lastSweepMillis = Long.MIN_VALUE / 2;
 
 	public DefaultRequestRouter(RequestPolicy policy, RandomGenerator random) {
 		this.state = new RouterState(policy, random);
 		this.admission = new Admission(policy, this.state.queue());
-		this.endings = new Endings(this.state);
-		this.dispatcher = new Dispatcher(this.state, this.admission, this.endings);
+		this.completion = new RequestCompletion(this.state);
+		this.dispatcher = new Dispatcher(this.state, this.admission, this.completion);
 		this.health = new TargetHealth(this.state);
 	}
 
 	@Override
-	public int outstanding() {
+	public int outstandingCount() {
 		return this.state.requests().size();
 	}
 
 	@Override
 	public List<String> explain(RequestId request) {
-		return this.state.journal().read(request);
+		return this.state.explanationLog().get(request);
 	}
 
 	@Override
 	public List<RequestCommand> handle(long now, RequestEvent event) {
-		expire(now);
-		take(now, event);
-		this.dispatcher.pump(now);
-		askForWakeUp(now);
+		expireDeadlines(now);
+		handleEvent(now, event);
+		this.dispatcher.dispatchWaiting(now);
+		requestWakeUp(now);
 		return this.state.takeCommands();
 	}
 
-	private void take(long now, RequestEvent event) {
+	private void handleEvent(long now, RequestEvent event) {
 		if (event instanceof RequestEvent.Arrived arrived) {
-			arrived(now, arrived);
+			onArrived(now, arrived);
 		}
 		else if (event instanceof RequestEvent.CallerGone gone) {
-			callerGone(gone.request());
+			onCallerGone(gone.request());
 		}
 		else if (event instanceof RequestEvent.Answered answered) {
-			answered(now, answered);
+			onAnswered(now, answered);
 		}
 		else if (event instanceof RequestEvent.NotStarted notStarted) {
-			notStarted(now, notStarted);
+			onNotStarted(now, notStarted);
 		}
 		else if (event instanceof RequestEvent.Broken broken) {
-			broken(now, broken);
+			onBroken(now, broken);
 		}
 		else if (event instanceof RequestEvent.NotSent notSent) {
-			notSent(now, notSent);
+			onNotSent(now, notSent);
 		}
-		else if (event instanceof RequestEvent.KeyDecided decided) {
-			keyDecided(decided);
+		else if (event instanceof RequestEvent.KeyClaimEnded decided) {
+			onKeyClaimEnded(decided);
 		}
 		else if (event instanceof RequestEvent.ConfigurationChanged changed) {
-			this.state.accept(changed.configuration());
+			this.state.acceptConfiguration(changed.configuration());
 		}
 		else if (event instanceof RequestEvent.Draining) {
 			this.draining = true;
 		}
 		else {
-			takeFromTarget(now, event);
+			handleTargetEvent(now, event);
 		}
 	}
 
-	private void takeFromTarget(long now, RequestEvent event) {
+	private void handleTargetEvent(long now, RequestEvent event) {
 		if (event instanceof RequestEvent.TargetJoined joined) {
-			targetLost(now, joined.target());
+			onTargetLost(now, joined.target());
 			this.state.targets().join(now, joined.target(), joined.zone(), joined.slots());
 		}
-		else if (event instanceof RequestEvent.TargetSlots lent) {
-			this.state.targets().find(lent.target()).ifPresent((target) -> target.lend(lent.slots()));
+		else if (event instanceof RequestEvent.TargetSlotsChanged lent) {
+			this.state.targets().find(lent.target()).ifPresent((target) -> target.setSlots(lent.slots()));
 		}
-		else if (event instanceof RequestEvent.TargetLeaving leaving) {
-			this.state.targets().find(leaving.target()).ifPresent(TargetRecord::leave);
+		else if (event instanceof RequestEvent.TargetDraining leaving) {
+			this.state.targets().find(leaving.target()).ifPresent(TargetRecord::startDraining);
 		}
 		else if (event instanceof RequestEvent.TargetLost lost) {
-			targetLost(now, lost.target());
+			onTargetLost(now, lost.target());
 		}
 	}
 
-	private void arrived(long now, RequestEvent.Arrived arrived) {
+	private void onArrived(long now, RequestEvent.Arrived arrived) {
 		if (this.state.requests().containsKey(arrived.request())) {
 			return;
 		}
 		Optional<Refusal> refusal = refusalOnArrival(now, arrived);
 		if (refusal.isPresent()) {
-			this.endings.refuse(arrived.request(), refusal.get());
+			this.completion.refuse(arrived.request(), refusal.get());
 			return;
 		}
 		RequestRecord request = new RequestRecord(arrived, now);
 		this.state.requests().put(request.id(), request);
 		this.deadlines.add(new Timer(request.deadline(), request.id()));
 		if (request.key().isPresent()) {
-			this.endings.beginClaim(request);
+			this.completion.beginClaim(request);
 			return;
 		}
 		this.state.queue().add(request);
@@ -149,16 +149,16 @@
 			return Optional.of(Refusal.notRun(RefusalReason.NO_CONFIGURATION, "the entry knows no configuration yet")
 				.withRetryAfter(this.state.policy().busyRetryAfter()));
 		}
-		Optional<Refusal> noTarget = this.dispatcher.noTarget(now);
+		Optional<Refusal> noTarget = this.dispatcher.noTargetRefusal(now);
 		if (noTarget.isPresent()) {
 			return noTarget;
 		}
-		int slots = this.state.targets().slots(now, this.state.configuration());
+		int slots = this.state.targets().usableSlots(now, this.state.configuration());
 		return this.admission.check(now, this.state.configuration(), arrived.customer(), arrived.deadlineMillis(),
-				this.endings.claiming(), slots);
+				this.completion.pendingClaimCount(), slots);
 	}
 
-	private void callerGone(RequestId id) {
+	private void onCallerGone(RequestId id) {
 		RequestRecord request = this.state.requests().get(id);
 		if (request == null) {
 			return;
@@ -166,70 +166,75 @@
 		request.markCallerGone();
 		// A repeat with the same key will ask how this one ended, so its answer is still
 		// wanted.
-		if (request.key().isPresent() && request.ran() == RunState.MAY_HAVE_RUN) {
-			this.state.journal().write(id, "the caller closed its connection; the answer is kept for its key");
+		if (request.key().isPresent() && request.runState() == RunState.MAY_HAVE_RUN) {
+			this.state.explanationLog().add(id, "the caller closed its connection; the answer is kept for its key");
 			return;
 		}
-		this.endings.refuse(request, RefusalReason.CALLER_GONE, "the caller closed its connection");
+		this.completion.refuse(request, RefusalReason.CALLER_GONE, "the caller closed its connection");
 	}
 
-	private void targetLost(long now, TargetId id) {
+	private void onTargetLost(long now, TargetId id) {
 		TargetRecord target = this.state.targets().remove(id);
 		if (target == null) {
 			return;
 		}
-		for (Flight flight : target.flights()) {
-			this.state.queue().ended(flight.customer(), now - flight.sentAt(), false);
-			RequestRecord request = this.state.requests().get(flight.request());
-			if (request != null && request.isOpen(flight.attempt(), id)) {
-				request.closeUncertain(flight.attempt());
+		for (InFlightAttempt inFlight : target.inFlightAttempts()) {
+			this.state.queue().onAttemptEnded(inFlight.customer(), now - inFlight.sentAt(), false);
+			RequestRecord request = this.state.requests().get(inFlight.request());
+			if (request != null && request.isOpen(inFlight.attempt(), id)) {
+				request.closeMayHaveRun(inFlight.attempt());
 				retryOrRefuse(now, request, RetryReason.TARGET_LOST, RefusalReason.TARGET_LOST,
 						"the connection to target " + id + " was lost");
 			}
 		}
 	}
 
-	private void answered(long now, RequestEvent.Answered answered) {
-		RequestRecord request = openRequest(now, answered.request(), answered.attempt(), answered.target(), true);
-		this.health.answered(now, answered.target(), answered.kind());
+	private void onAnswered(long now, RequestEvent.Answered answered) {
+		RequestRecord request = releaseSlotAndFindOpenRequest(now, answered.request(), answered.attempt(),
+				answered.target(), true);
+		this.health.onAnswered(now, answered.target(), answered.kind());
 		if (request == null) {
 			return;
 		}
-		request.closeUncertain(answered.attempt());
-		this.state.journal()
-			.write(request.id(), "target " + answered.target() + " answered attempt " + answered.attempt());
-		boolean again = answered.kind() == AnswerKind.ERROR && request.idempotent() && request.open().isEmpty();
-		if (again && this.dispatcher.retry(now, request, RetryReason.ERROR_ANSWER)) {
+		request.closeMayHaveRun(answered.attempt());
+		this.state.explanationLog()
+			.add(request.id(), "target " + answered.target() + " answered attempt " + answered.attempt());
+		boolean shouldRetry = answered.kind() == AnswerKind.ERROR && request.isIdempotent()
+				&& request.openAttempts().isEmpty();
+		if (shouldRetry && this.dispatcher.retry(now, request, RetryReason.ERROR_ANSWER)) {
 			return;
 		}
-		this.endings.deliver(request, answered.attempt());
+		this.completion.deliver(request, answered.attempt());
 	}
 
-	private void notStarted(long now, RequestEvent.NotStarted event) {
-		RequestRecord request = openRequest(now, event.request(), event.attempt(), event.target(), false);
-		this.health.refused(now, event.target());
+	private void onNotStarted(long now, RequestEvent.NotStarted event) {
+		RequestRecord request = releaseSlotAndFindOpenRequest(now, event.request(), event.attempt(), event.target(),
+				false);
+		this.health.onRefused(now, event.target());
 		if (request == null) {
 			return;
 		}
 		request.closeNotRun(event.attempt());
 		retryOrRefuse(now, request, RetryReason.NOT_STARTED, RefusalReason.TARGETS_BUSY,
-				"target " + event.target() + " did not start it (" + event.why() + ")");
+				"target " + event.target() + " did not start it (" + event.reason() + ")");
 	}
 
-	private void broken(long now, RequestEvent.Broken event) {
-		RequestRecord request = openRequest(now, event.request(), event.attempt(), event.target(), false);
-		this.health.broken(now, event.target());
+	private void onBroken(long now, RequestEvent.Broken event) {
+		RequestRecord request = releaseSlotAndFindOpenRequest(now, event.request(), event.attempt(), event.target(),
+				false);
+		this.health.onBroken(now, event.target());
 		if (request == null) {
 			return;
 		}
-		request.closeUncertain(event.attempt());
+		request.closeMayHaveRun(event.attempt());
 		retryOrRefuse(now, request, RetryReason.BROKEN, RefusalReason.BAD_ANSWER,
-				"the instance of target " + event.target() + " gave no whole answer (" + event.why() + ")");
+				"the instance of target " + event.target() + " gave no whole answer (" + event.reason() + ")");
 	}
 
-	private void notSent(long now, RequestEvent.NotSent event) {
-		RequestRecord request = openRequest(now, event.request(), event.attempt(), event.target(), false);
-		this.state.targets().find(event.target()).ifPresent(TargetRecord::markFull);
+	private void onNotSent(long now, RequestEvent.NotSent event) {
+		RequestRecord request = releaseSlotAndFindOpenRequest(now, event.request(), event.attempt(), event.target(),
+				false);
+		this.state.targets().find(event.target()).ifPresent(TargetRecord::markConnectionFull);
 		if (request == null) {
 			return;
 		}
@@ -240,12 +245,13 @@
 
 	// Frees the slot in any case; gives the request only if this attempt is still open,
 	// so that late, crossed and duplicated messages change nothing.
-	private RequestRecord openRequest(long now, RequestId id, int attempt, TargetId targetId, boolean typical) {
+	private RequestRecord releaseSlotAndFindOpenRequest(long now, RequestId id, int attempt, TargetId targetId,
+			boolean representative) {
 		TargetRecord target = this.state.targets().get(targetId);
 		if (target != null) {
-			Flight flight = target.free(now, id, attempt);
-			if (flight != null) {
-				this.state.queue().ended(flight.customer(), now - flight.sentAt(), typical);
+			InFlightAttempt inFlight = target.releaseSlot(now, id, attempt);
+			if (inFlight != null) {
+				this.state.queue().onAttemptEnded(inFlight.customer(), now - inFlight.sentAt(), representative);
 			}
 		}
 		RequestRecord request = this.state.requests().get(id);
@@ -256,35 +262,35 @@
 	}
 
 	private void retryOrRefuse(long now, RequestRecord request, RetryReason reason, RefusalReason refusal,
-			String what) {
-		this.state.journal().write(request.id(), what);
-		if (!request.open().isEmpty()) {
+			String detail) {
+		this.state.explanationLog().add(request.id(), detail);
+		if (!request.openAttempts().isEmpty()) {
 			return;
 		}
-		boolean permitted = request.idempotent() || request.ran() == RunState.NOT_RUN;
-		if (permitted && this.dispatcher.retry(now, request, reason)) {
+		boolean retryPermitted = request.isIdempotent() || request.runState() == RunState.NOT_RUN;
+		if (retryPermitted && this.dispatcher.retry(now, request, reason)) {
 			return;
 		}
-		boolean budget = permitted && this.dispatcher.budgetSpent();
-		this.endings.refuse(request, budget ? RefusalReason.RETRY_BUDGET : refusal, what);
+		boolean budgetExhausted = retryPermitted && this.dispatcher.budgetExhausted();
+		this.completion.refuse(request, budgetExhausted ? RefusalReason.RETRY_BUDGET : refusal, detail);
 	}
 
-	private void keyDecided(RequestEvent.KeyDecided event) {
+	private void onKeyClaimEnded(RequestEvent.KeyClaimEnded event) {
 		RequestRecord request = this.state.requests().get(event.request());
 		if (request == null || request.phase() != RequestRecord.Phase.CLAIMING) {
-			this.endings.lateClaim(event.request(), event.decision());
+			this.completion.onLateClaimOutcome(event.request(), event.outcome());
 			return;
 		}
-		this.endings.endClaim(request);
-		switch (event.decision()) {
+		this.completion.endClaim(request);
+		switch (event.outcome()) {
 			case CLAIMED -> {
 				request.markKeyHeld();
 				this.state.queue().add(request);
 			}
-			case ANSWERED_BEFORE -> this.endings.deliverRecorded(request);
+			case ANSWERED_BEFORE -> this.completion.deliverRecorded(request);
 			case HELD_BY_OTHER -> refuseClaim(request, Refusal.mayHaveRun(RefusalReason.KEY_IN_USE,
 					"an earlier request with this key has no known ending yet"));
-			case DIFFERENT_CONTENT -> this.endings.refuse(request,
+			case DIFFERENT_CONTENT -> this.completion.refuse(request,
 					Refusal.notRun(RefusalReason.KEY_REUSED, "the key was used for other content"));
 			case STORE_AWAY -> refuseClaim(request,
 					Refusal.notRun(RefusalReason.STORE_AWAY, "the key could not be claimed and nothing was sent"));
@@ -297,42 +303,42 @@
 	}
 
 	private void refuseClaim(RequestRecord request, Refusal refusal) {
-		this.endings.refuse(request, refusal.withRetryAfter(this.state.policy().busyRetryAfter()));
+		this.completion.refuse(request, refusal.withRetryAfter(this.state.policy().busyRetryAfter()));
 	}
 
-	private void expire(long now) {
-		while (!this.deadlines.isEmpty() && this.deadlines.peek().at() <= now) {
+	private void expireDeadlines(long now) {
+		while (!this.deadlines.isEmpty() && this.deadlines.peek().atMillis() <= now) {
 			RequestRecord request = this.state.requests().get(this.deadlines.poll().request());
 			if (request != null && request.deadline() <= now) {
-				this.endings.refuse(request, RefusalReason.DEADLINE, "the deadline passed");
+				this.completion.refuse(request, RefusalReason.DEADLINE, "the deadline passed");
 			}
 		}
-		if (now - this.sweptAt >= SWEEP_MILLIS) {
-			this.sweptAt = now;
+		if (now - this.lastSweepMillis >= SWEEP_INTERVAL_MILLIS) {
+			this.lastSweepMillis = now;
 			this.health.sweep(now);
 			this.dispatcher.hedge(now);
 		}
 	}
 
-	private void askForWakeUp(long now) {
-		boolean waiting = !this.deadlines.isEmpty() && !this.state.requests().isEmpty();
-		long at = waiting ? this.deadlines.peek().at() : Long.MAX_VALUE;
+	private void requestWakeUp(long now) {
+		boolean hasDeadlines = !this.deadlines.isEmpty() && !this.state.requests().isEmpty();
+		long wakeUpMillis = hasDeadlines ? this.deadlines.peek().atMillis() : Long.MAX_VALUE;
 		if (this.state.queue().size() > 0) {
-			at = Math.min(at, this.dispatcher.noTargetUntil());
+			wakeUpMillis = Math.min(wakeUpMillis, this.dispatcher.noTargetDeadline());
 		}
-		boolean stillAsked = this.wakeAskedFor > now && this.wakeAskedFor <= at;
-		if (at == Long.MAX_VALUE || stillAsked) {
+		boolean alreadyRequested = this.requestedWakeUpMillis > now && this.requestedWakeUpMillis <= wakeUpMillis;
+		if (wakeUpMillis == Long.MAX_VALUE || alreadyRequested) {
 			return;
 		}
-		this.wakeAskedFor = Math.max(now + 1, at);
-		this.state.command(new RequestCommand.WakeAt(this.wakeAskedFor));
+		this.requestedWakeUpMillis = Math.max(now + 1, wakeUpMillis);
+		this.state.addCommand(new RequestCommand.WakeAt(this.requestedWakeUpMillis));
 	}
 
-	private record Timer(long at, RequestId request) implements Comparable<Timer> {
+	private record Timer(long atMillis, RequestId request) implements Comparable<Timer> {
 
 		@Override
 		public int compareTo(Timer other) {
-			return Long.compare(this.at, other.at);
+			return Long.compare(this.atMillis, other.atMillis);
 		}
 
 	}
--- a/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
@@ -21,41 +21,41 @@
 
 	private final Admission admission;
 
-	private final Endings endings;
+	private final RequestCompletion completion;
 
 	private long noTargetSince = Long.MAX_VALUE;
 
-	private boolean budgetSpent;
+	private boolean budgetExhausted;
 
-	Dispatcher(RouterState state, Admission admission, Endings endings) {
+	Dispatcher(RouterState state, Admission admission, RequestCompletion endings) {
 		this.state = state;
 		this.admission = admission;
-		this.endings = endings;
+		this.completion = endings;
 	}
 
 	/**
 	 * When waiting requests have to be refused because no target may take them.
 	 * @return a time, or {@code Long.MAX_VALUE}
 	 */
-	long noTargetUntil() {
+	long noTargetDeadline() {
 		if (this.noTargetSince == Long.MAX_VALUE) {
 			return Long.MAX_VALUE;
 		}
-		return this.noTargetSince + this.state.policy().noTargetWait().toMillis();
+		return this.noTargetSince + this.state.policy().noTargetTimeout().toMillis();
 	}
 
 	// Sends what can be sent.
-	void pump(long now) {
+	void dispatchWaiting(long now) {
 		Configuration configuration = this.state.configuration();
 		if (configuration == null || this.state.queue().size() == 0) {
 			return;
 		}
 		if (!this.state.targets().anyMayServe(configuration)) {
-			waitForTarget(now);
+			refuseAfterNoTargetTimeout(now);
 			return;
 		}
 		this.noTargetSince = Long.MAX_VALUE;
-		while (this.state.targets().anyRoom(now, configuration) && sendNext(now, configuration)) {
+		while (this.state.targets().anyFreeSlot(now, configuration) && sendNext(now, configuration)) {
 			continue;
 		}
 	}
@@ -65,11 +65,11 @@
 	 * @param now the time
 	 * @return a refusal if no target has been there for the whole wait
 	 */
-	Optional<Refusal> noTarget(long now) {
+	Optional<Refusal> noTargetRefusal(long now) {
 		if (this.state.targets().anyMayServe(this.state.configuration())) {
 			this.noTargetSince = Long.MAX_VALUE;
 		}
-		return (now >= noTargetUntil()) ? Optional.of(noTarget()) : Optional.empty();
+		return (now >= noTargetDeadline()) ? Optional.of(noTargetRefusal()) : Optional.empty();
 	}
 
 	/**
@@ -83,9 +83,9 @@
 		if (!mayRetry(now, request)) {
 			return false;
 		}
-		this.state.command(new RequestCommand.CountRetry(reason));
-		this.state.journal().write(request.id(), "it is tried elsewhere: " + reason.word());
-		request.enter(RequestRecord.Phase.QUEUED);
+		this.state.addCommand(new RequestCommand.CountRetry(reason));
+		this.state.explanationLog().add(request.id(), "it is tried elsewhere: " + reason.externalName());
+		request.enterPhase(RequestRecord.Phase.QUEUED);
 		this.state.queue().addFirst(request);
 		return true;
 	}
@@ -94,8 +94,8 @@
 	 * Whether the last retry was denied for the budget alone.
 	 * @return true if it was
 	 */
-	boolean budgetSpent() {
-		return this.budgetSpent;
+	boolean budgetExhausted() {
+		return this.budgetExhausted;
 	}
 
 	/**
@@ -106,51 +106,54 @@
 		if (this.state.policy().hedgeAfter().isEmpty()) {
 			return;
 		}
-		long after = this.state.policy().hedgeAfter().get().toMillis();
+		long delayMillis = this.state.policy().hedgeAfter().get().toMillis();
 		for (RequestRecord request : List.copyOf(this.state.requests().values())) {
-			boolean slow = request.idempotent() && request.open().size() == 1 && now - request.sentAt() >= after;
-			if (slow && request.attempts() < this.state.policy().maxAttempts()) {
+			boolean slow = request.isIdempotent() && request.openAttempts().size() == 1
+					&& now - request.sentAt() >= delayMillis;
+			if (slow && request.attemptCount() < this.state.policy().maxAttempts()) {
 				hedge(now, request);
 			}
 		}
 	}
 
 	private void hedge(long now, RequestRecord request) {
-		Optional<TargetRecord> target = this.state.targets().choose(now, this.state.configuration(), request.tried());
-		if (target.isEmpty() || !this.state.budget().spend()) {
+		Optional<TargetRecord> target = this.state.targets()
+			.choose(now, this.state.configuration(), request.triedTargets());
+		if (target.isEmpty() || !this.state.retryBudget().tryWithdraw()) {
 			return;
 		}
-		this.state.command(new RequestCommand.CountRetry(RetryReason.SLOW));
-		this.state.queue().charge(request.customer());
+		this.state.addCommand(new RequestCommand.CountRetry(RetryReason.SLOW));
+		this.state.queue().chargeEstimate(request.customer());
 		send(now, request, target.get());
 	}
 
 	private boolean mayRetry(long now, RequestRecord request) {
-		this.budgetSpent = false;
-		boolean over = request.callerGone() || request.deadline() <= now
-				|| request.attempts() >= this.state.policy().maxAttempts();
-		if (over || !this.state.targets().anyUntried(now, this.state.configuration(), request.tried())) {
+		this.budgetExhausted = false;
+		boolean exhausted = request.callerGone() || request.deadline() <= now
+				|| request.attemptCount() >= this.state.policy().maxAttempts();
+		if (exhausted || !this.state.targets().anyUntried(now, this.state.configuration(), request.triedTargets())) {
 			return false;
 		}
-		this.budgetSpent = !this.state.budget().spend();
-		return !this.budgetSpent;
+		this.budgetExhausted = !this.state.retryBudget().tryWithdraw();
+		return !this.budgetExhausted;
 	}
 
 	private boolean sendNext(long now, Configuration configuration) {
-		int most = this.admission.mostInFlight(configuration, this.state.targets().slots(now, configuration));
-		for (CustomerId customer : this.state.queue().turn()) {
-			if (this.state.queue().inFlight(customer) >= most) {
+		int maxInFlight = this.admission.maxInFlight(configuration,
+				this.state.targets().usableSlots(now, configuration));
+		for (CustomerId customer : this.state.queue().customersByVirtualTime()) {
+			if (this.state.queue().inFlightCount(customer) >= maxInFlight) {
 				continue;
 			}
-			RequestRecord request = this.state.queue().first(customer);
-			Set<TargetId> tried = request.tried();
-			if (!tried.isEmpty() && !this.state.targets().anyUntried(now, configuration, tried)) {
-				this.endings.refuse(request, RefusalReason.TARGETS_BUSY, "no target is left that was not tried");
+			RequestRecord request = this.state.queue().peekFirst(customer);
+			Set<TargetId> triedTargets = request.triedTargets();
+			if (!triedTargets.isEmpty() && !this.state.targets().anyUntried(now, configuration, triedTargets)) {
+				this.completion.refuse(request, RefusalReason.TARGETS_BUSY, "no target is left that was not tried");
 				return true;
 			}
-			Optional<TargetRecord> target = this.state.targets().choose(now, configuration, tried);
+			Optional<TargetRecord> target = this.state.targets().choose(now, configuration, triedTargets);
 			if (target.isPresent()) {
-				this.state.queue().dispatch(request);
+				this.state.queue().removeAndCharge(request);
 				send(now, request, target.get());
 				return true;
 			}
@@ -159,39 +162,40 @@
 	}
 
 	private void send(long now, RequestRecord request, TargetRecord target) {
-		if (request.attempts() == 0) {
-			this.state.budget().earn();
+		if (request.attemptCount() == 0) {
+			this.state.retryBudget().deposit();
 		}
 		int attempt = request.openAttempt(now, target.id());
-		target.take(new Flight(request.id(), attempt, request.customer(), now, overdueAt(now, request.customer()),
-				request.deadline() + this.state.policy().cancelGrace().toMillis()));
-		this.state.journal().write(request.id(), "attempt " + attempt + " is sent to target " + target.id());
-		this.state.command(new RequestCommand.Send(request.id(), attempt, target.id(), request.deadline()));
+		target.addAttempt(new InFlightAttempt(request.id(), attempt, request.customer(), now,
+				overdueAt(now, request.customer()), request.deadline() + this.state.policy().cancelGrace().toMillis()));
+		this.state.explanationLog().add(request.id(), "attempt " + attempt + " is sent to target " + target.id());
+		this.state.addCommand(new RequestCommand.Send(request.id(), attempt, target.id(), request.deadline()));
 	}
 
 	private long overdueAt(long now, CustomerId customer) {
-		if (!this.state.queue().hasMeasured(customer)) {
+		if (!this.state.queue().hasEstimate(customer)) {
 			return Long.MAX_VALUE;
 		}
-		double patience = this.state.queue().usualMillis(customer) * this.state.policy().targets().stallFactor();
-		return now + (long) patience;
+		double allowedMillis = this.state.queue().estimatedMillis(customer)
+				* this.state.policy().targets().stallFactor();
+		return now + (long) allowedMillis;
 	}
 
-	private void waitForTarget(long now) {
+	private void refuseAfterNoTargetTimeout(long now) {
 		if (this.noTargetSince == Long.MAX_VALUE) {
 			this.noTargetSince = now;
 		}
-		if (now < noTargetUntil()) {
+		if (now < noTargetDeadline()) {
 			return;
 		}
-		Refusal refusal = noTarget();
-		for (RequestRecord request : this.state.queue().all()) {
-			this.endings.refuse(request, refusal.reason(), refusal.detail());
+		Refusal refusal = noTargetRefusal();
+		for (RequestRecord request : this.state.queue().allWaiting()) {
+			this.completion.refuse(request, refusal.reason(), refusal.detail());
 		}
 	}
 
-	private Refusal noTarget() {
-		Refusal refusal = this.state.targets().anyInZoneOut(this.state.configuration())
+	private Refusal noTargetRefusal() {
+		Refusal refusal = this.state.targets().anyExcludedByZoneState(this.state.configuration())
 				? Refusal.notRun(RefusalReason.ZONE_OUT, "every target stands in a zone that is out of service")
 				: Refusal.notRun(RefusalReason.NO_TARGET, "no target is connected to this entry");
 		return refusal.withRetryAfter(this.state.policy().busyRetryAfter());
--- a/core/src/main/java/org/almondmount/requests/impl/FairQueue.java
+++ b/core/src/main/java/org/almondmount/requests/impl/FairQueue.java
@@ -20,11 +20,11 @@
  */
 final class FairQueue {
 
-	private static final double FIRST_GUESS_MILLIS = 50;
+	private static final double INITIAL_ESTIMATE_MILLIS = 50;
 
-	private static final double SMOOTHING = 0.2;
+	private static final double SMOOTHING_FACTOR = 0.2;
 
-	private final Map<CustomerId, Lane> lanes = new TreeMap<>();
+	private final Map<CustomerId, CustomerQueue> customerQueues = new TreeMap<>();
 
 	private final ToDoubleFunction<CustomerId> weights;
 
@@ -41,38 +41,38 @@
 	}
 
 	int size(CustomerId customer) {
-		Lane lane = this.lanes.get(customer);
-		return (lane != null) ? lane.waiting.size() : 0;
+		CustomerQueue queue = this.customerQueues.get(customer);
+		return (queue != null) ? queue.waiting.size() : 0;
 	}
 
-	int inFlight(CustomerId customer) {
-		Lane lane = this.lanes.get(customer);
-		return (lane != null) ? lane.inFlight : 0;
+	int inFlightCount(CustomerId customer) {
+		CustomerQueue queue = this.customerQueues.get(customer);
+		return (queue != null) ? queue.inFlightCount : 0;
 	}
 
-	double usualMillis(CustomerId customer) {
-		Lane lane = this.lanes.get(customer);
-		return (lane != null) ? lane.usual : FIRST_GUESS_MILLIS;
+	double estimatedMillis(CustomerId customer) {
+		CustomerQueue queue = this.customerQueues.get(customer);
+		return (queue != null) ? queue.estimatedMillis : INITIAL_ESTIMATE_MILLIS;
 	}
 
-	boolean hasMeasured(CustomerId customer) {
-		Lane lane = this.lanes.get(customer);
-		return lane != null && lane.measured;
+	boolean hasEstimate(CustomerId customer) {
+		CustomerQueue queue = this.customerQueues.get(customer);
+		return queue != null && queue.hasEstimate;
 	}
 
 	void add(RequestRecord request) {
-		lane(request.customer()).waiting.addLast(request);
+		customerQueue(request.customer()).waiting.addLast(request);
 		this.size++;
 	}
 
 	void addFirst(RequestRecord request) {
-		lane(request.customer()).waiting.addFirst(request);
+		customerQueue(request.customer()).waiting.addFirst(request);
 		this.size++;
 	}
 
 	boolean remove(RequestRecord request) {
-		Lane lane = this.lanes.get(request.customer());
-		if (lane == null || !lane.waiting.remove(request)) {
+		CustomerQueue queue = this.customerQueues.get(request.customer());
+		if (queue == null || !queue.waiting.remove(request)) {
 			return false;
 		}
 		this.size--;
@@ -83,14 +83,15 @@
 	 * The waiting customers, the one that is owed most first.
 	 * @return a copy
 	 */
-	List<CustomerId> turn() {
+	List<CustomerId> customersByVirtualTime() {
 		List<CustomerId> waiting = new ArrayList<>();
-		for (Map.Entry<CustomerId, Lane> entry : this.lanes.entrySet()) {
+		for (Map.Entry<CustomerId, CustomerQueue> entry : this.customerQueues.entrySet()) {
 			if (!entry.getValue().waiting.isEmpty()) {
 				waiting.add(entry.getKey());
 			}
 		}
-		waiting.sort((one, other) -> Double.compare(this.lanes.get(one).pass, this.lanes.get(other).pass));
+		waiting.sort((first, second) -> Double.compare(this.customerQueues.get(first).virtualTime,
+				this.customerQueues.get(second).virtualTime));
 		return waiting;
 	}
 
@@ -100,81 +101,83 @@
 	 * @return a copy
 	 */
 	List<RequestRecord> waiting(CustomerId customer) {
-		Lane lane = this.lanes.get(customer);
-		return (lane != null) ? List.copyOf(lane.waiting) : List.of();
+		CustomerQueue queue = this.customerQueues.get(customer);
+		return (queue != null) ? List.copyOf(queue.waiting) : List.of();
 	}
 
-	RequestRecord first(CustomerId customer) {
-		return this.lanes.get(customer).waiting.peekFirst();
+	RequestRecord peekFirst(CustomerId customer) {
+		return this.customerQueues.get(customer).waiting.peekFirst();
 	}
 
-	List<RequestRecord> all() {
-		List<RequestRecord> all = new ArrayList<>();
-		for (Lane lane : this.lanes.values()) {
-			all.addAll(lane.waiting);
+	List<RequestRecord> allWaiting() {
+		List<RequestRecord> requests = new ArrayList<>();
+		for (CustomerQueue queue : this.customerQueues.values()) {
+			requests.addAll(queue.waiting);
 		}
-		return all;
+		return requests;
 	}
 
 	// Takes the request out and charges its customer for the usual slot time.
-	void dispatch(RequestRecord request) {
+	void removeAndCharge(RequestRecord request) {
 		remove(request);
-		charge(request.customer());
+		chargeEstimate(request.customer());
 	}
 
-	void charge(CustomerId customer) {
-		Lane lane = lane(customer);
-		this.virtualTime = Math.max(this.virtualTime, lane.pass);
-		lane.inFlight++;
-		lane.pass += lane.usual / weight(customer);
+	void chargeEstimate(CustomerId customer) {
+		CustomerQueue queue = customerQueue(customer);
+		this.virtualTime = Math.max(this.virtualTime, queue.virtualTime);
+		queue.inFlightCount++;
+		queue.virtualTime += queue.estimatedMillis / weight(customer);
 	}
 
 	/**
 	 * An attempt left its slot.
 	 * @param customer its customer
-	 * @param millis the time that it really took
-	 * @param typical whether that time says something about the customer's requests
+	 * @param actualMillis the time that it really took
+	 * @param representative whether that time says something about the customer's
+	 * requests
 	 */
-	void ended(CustomerId customer, double millis, boolean typical) {
-		Lane lane = lane(customer);
-		lane.inFlight = Math.max(0, lane.inFlight - 1);
-		lane.pass += (millis - lane.usual) / weight(customer);
-		if (!typical) {
+	void onAttemptEnded(CustomerId customer, double actualMillis, boolean representative) {
+		CustomerQueue queue = customerQueue(customer);
+		queue.inFlightCount = Math.max(0, queue.inFlightCount - 1);
+		queue.virtualTime += (actualMillis - queue.estimatedMillis) / weight(customer);
+		if (!representative) {
 			return;
 		}
-		lane.usual = lane.measured ? lane.usual + SMOOTHING * (millis - lane.usual) : millis;
-		lane.usual = Math.max(1, lane.usual);
-		lane.measured = true;
+		queue.estimatedMillis = queue.hasEstimate
+				? queue.estimatedMillis + SMOOTHING_FACTOR * (actualMillis - queue.estimatedMillis) : actualMillis;
+		queue.estimatedMillis = Math.max(1, queue.estimatedMillis);
+		queue.hasEstimate = true;
 	}
 
-	private Lane lane(CustomerId customer) {
-		Lane lane = this.lanes.get(customer);
-		if (lane == null) {
-			lane = new Lane();
-			this.lanes.put(customer, lane);
+	private CustomerQueue customerQueue(CustomerId customer) {
+		CustomerQueue queue = this.customerQueues.get(customer);
+		if (queue == null) {
+			queue = new CustomerQueue();
+			this.customerQueues.put(customer, queue);
 		}
 		// A customer that was away must not save up turns and then shut the others out.
-		if (lane.waiting.isEmpty() && lane.inFlight == 0) {
-			lane.pass = Math.max(lane.pass, this.virtualTime);
+		if (queue.waiting.isEmpty() && queue.inFlightCount == 0) {
+			queue.virtualTime = Math.max(queue.virtualTime, this.virtualTime);
 		}
-		return lane;
+		return queue;
 	}
 
 	private double weight(CustomerId customer) {
 		return Math.max(1e-6, this.weights.applyAsDouble(customer));
 	}
 
-	private static final class Lane {
+	private static final class CustomerQueue {
 
 		private final Deque<RequestRecord> waiting = new ArrayDeque<>();
 
-		private double pass;
+		private double virtualTime;
 
-		private int inFlight;
+		private int inFlightCount;
 
-		private double usual = FIRST_GUESS_MILLIS;
+		private double estimatedMillis = INITIAL_ESTIMATE_MILLIS;
 
-		private boolean measured;
+		private boolean hasEstimate;
 
 	}
 
--- a/core/src/main/java/org/almondmount/requests/impl/Flight.java
+++ b/core/src/main/java/org/almondmount/requests/impl/InFlightAttempt.java
@@ -13,5 +13,6 @@
  * @param overdueAt when it has taken suspiciously long
  * @param expiresAt when it stops to count even if the target never says anything
  */
-record Flight(RequestId request, int attempt, CustomerId customer, long sentAt, long overdueAt, long expiresAt) {
+record InFlightAttempt(RequestId request, int attempt, CustomerId customer, long sentAt, long overdueAt,
+		long expiresAt) {
 }
--- a/core/src/main/java/org/almondmount/requests/impl/RequestRecord.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RequestRecord.java
@@ -21,19 +21,19 @@
 
 	private final long arrivedAt;
 
-	private final Map<Integer, TargetId> open = new TreeMap<>();
+	private final Map<Integer, TargetId> openAttempts = new TreeMap<>();
 
-	private final Set<TargetId> tried = new HashSet<>();
+	private final Set<TargetId> triedTargets = new HashSet<>();
 
 	private Phase phase = Phase.QUEUED;
 
-	private int attempts;
+	private int attemptCount;
 
 	private boolean callerGone;
 
 	private boolean mayHoldKey;
 
-	private boolean uncertain;
+	private boolean mayHaveRun;
 
 	private long sentAt;
 
@@ -50,7 +50,7 @@
 		return this.arrival.customer();
 	}
 
-	boolean idempotent() {
+	boolean isIdempotent() {
 		return this.arrival.idempotent();
 	}
 
@@ -70,15 +70,15 @@
 		return this.sentAt;
 	}
 
-	int attempts() {
-		return this.attempts;
+	int attemptCount() {
+		return this.attemptCount;
 	}
 
 	Phase phase() {
 		return this.phase;
 	}
 
-	void enter(Phase newPhase) {
+	void enterPhase(Phase newPhase) {
 		this.phase = newPhase;
 	}
 
@@ -102,44 +102,44 @@
 	 * The attempts that may still be answered, with their targets.
 	 * @return a live view
 	 */
-	Map<Integer, TargetId> open() {
-		return this.open;
+	Map<Integer, TargetId> openAttempts() {
+		return this.openAttempts;
 	}
 
-	Set<TargetId> tried() {
-		return this.tried;
+	Set<TargetId> triedTargets() {
+		return this.triedTargets;
 	}
 
 	int openAttempt(long now, TargetId target) {
-		this.attempts++;
-		this.open.put(this.attempts, target);
-		this.tried.add(target);
+		this.attemptCount++;
+		this.openAttempts.put(this.attemptCount, target);
+		this.triedTargets.add(target);
 		this.phase = Phase.SENT;
 		this.sentAt = now;
-		return this.attempts;
+		return this.attemptCount;
 	}
 
 	boolean isOpen(int attempt, TargetId target) {
-		return target.equals(this.open.get(attempt));
+		return target.equals(this.openAttempts.get(attempt));
 	}
 
 	// The attempt certainly never ran.
 	void closeNotRun(int attempt) {
-		this.open.remove(attempt);
+		this.openAttempts.remove(attempt);
 	}
 
 	// The attempt may have run and will not be heard of again.
-	void closeUncertain(int attempt) {
-		this.open.remove(attempt);
-		this.uncertain = true;
+	void closeMayHaveRun(int attempt) {
+		this.openAttempts.remove(attempt);
+		this.mayHaveRun = true;
 	}
 
 	/**
 	 * What the caller can rely on if the request ended now without an answer.
 	 * @return not-run only if no attempt can have run
 	 */
-	RunState ran() {
-		return (this.uncertain || !this.open.isEmpty()) ? RunState.MAY_HAVE_RUN : RunState.NOT_RUN;
+	RunState runState() {
+		return (this.mayHaveRun || !this.openAttempts.isEmpty()) ? RunState.MAY_HAVE_RUN : RunState.NOT_RUN;
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/requests/impl/RetryBudget.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RetryBudget.java
@@ -9,23 +9,23 @@
  */
 final class RetryBudget {
 
-	private final double ratio;
+	private final double tokensPerDeposit;
 
-	private final double most;
+	private final double maxTokens;
 
 	private double tokens;
 
 	RetryBudget(double ratio, int reserve) {
-		this.ratio = ratio;
-		this.most = reserve;
+		this.tokensPerDeposit = ratio;
+		this.maxTokens = reserve;
 		this.tokens = reserve;
 	}
 
-	void earn() {
-		this.tokens = Math.min(this.most, this.tokens + this.ratio);
+	void deposit() {
+		this.tokens = Math.min(this.maxTokens, this.tokens + this.tokensPerDeposit);
 	}
 
-	boolean spend() {
+	boolean tryWithdraw() {
 		if (this.tokens < 1) {
 			return false;
 		}
--- a/core/src/main/java/org/almondmount/requests/impl/RouterState.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RouterState.java
@@ -21,9 +21,9 @@
 
 	private final Map<RequestId, RequestRecord> requests = new HashMap<>();
 
-	private final Journal journal = new Journal();
+	private final ExplanationLog explanationLog = new ExplanationLog();
 
-	private final RetryBudget budget;
+	private final RetryBudget retryBudget;
 
 	private final TargetTable targets;
 
@@ -35,7 +35,7 @@
 
 	RouterState(RequestPolicy policy, RandomGenerator random) {
 		this.policy = policy;
-		this.budget = new RetryBudget(policy.retryRatio(), policy.retryReserve());
+		this.retryBudget = new RetryBudget(policy.retryRatio(), policy.retryReserve());
 		this.targets = new TargetTable(policy, random);
 		this.queue = new FairQueue(this::weight);
 	}
@@ -48,12 +48,12 @@
 		return this.requests;
 	}
 
-	Journal journal() {
-		return this.journal;
+	ExplanationLog explanationLog() {
+		return this.explanationLog;
 	}
 
-	RetryBudget budget() {
-		return this.budget;
+	RetryBudget retryBudget() {
+		return this.retryBudget;
 	}
 
 	TargetTable targets() {
@@ -74,13 +74,13 @@
 
 	// A holder of an old configuration may still be heard; going back would put a zone in
 	// service again that operators took out.
-	void accept(Configuration offered) {
+	void acceptConfiguration(Configuration offered) {
 		if (this.configuration == null || offered.revision() >= this.configuration.revision()) {
 			this.configuration = offered;
 		}
 	}
 
-	void command(RequestCommand command) {
+	void addCommand(RequestCommand command) {
 		this.commands.add(command);
 	}
 
--- a/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
@@ -21,36 +21,36 @@
 		this.state = state;
 	}
 
-	void answered(long now, TargetId id, AnswerKind kind) {
+	void onAnswered(long now, TargetId id, AnswerKind kind) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target == null) {
 			return;
 		}
 		if (kind == AnswerKind.ERROR) {
-			failed(now, target, "it failed several requests in a row");
+			recordFailure(now, target, "it failed several requests in a row");
 			return;
 		}
 		if (target.probing()) {
-			explain(id, "answers again and is back in use");
+			logDecision(id, "answers again and is back in use");
 		}
-		target.succeeded();
+		target.recordSuccess();
 	}
 
 	// A target whose instance stands still refuses at once, so that it always has a free
 	// slot here and draws more requests than any other: each of them costs a retry, and
 	// the retry budget runs out for everybody. Slots are lent, so that a healthy target
 	// hardly ever refuses; several refusals in a row are as good a sign as errors.
-	void refused(long now, TargetId id) {
+	void onRefused(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
-			failed(now, target, "it refused several requests in a row");
+			recordFailure(now, target, "it refused several requests in a row");
 		}
 	}
 
-	void broken(long now, TargetId id) {
+	void onBroken(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
-			failed(now, target, "its instance broke off several requests in a row");
+			recordFailure(now, target, "its instance broke off several requests in a row");
 		}
 	}
 
@@ -61,39 +61,39 @@
 	 */
 	void sweep(long now) {
 		for (TargetRecord target : this.state.targets().all()) {
-			target.reopen();
-			if (!target.ejected(now) && target.stalled(now)) {
+			target.clearConnectionFull();
+			if (!target.isEjected(now) && target.isStalled(now)) {
 				eject(now, target, "it answers nothing");
 			}
-			for (Flight flight : List.copyOf(target.flights())) {
-				if (flight.expiresAt() <= now) {
-					target.drop(flight);
-					this.state.queue().ended(flight.customer(), now - flight.sentAt(), false);
+			for (InFlightAttempt attempt : List.copyOf(target.inFlightAttempts())) {
+				if (attempt.expiresAt() <= now) {
+					target.removeAttempt(attempt);
+					this.state.queue().onAttemptEnded(attempt.customer(), now - attempt.sentAt(), false);
 				}
 			}
 		}
 	}
 
-	private void failed(long now, TargetRecord target, String why) {
-		if (target.failed() && !target.ejected(now)) {
-			eject(now, target, why);
+	private void recordFailure(long now, TargetRecord target, String reason) {
+		if (target.recordFailure() && !target.isEjected(now)) {
+			eject(now, target, reason);
 		}
 	}
 
-	private void eject(long now, TargetRecord target, String why) {
+	private void eject(long now, TargetRecord target, String reason) {
 		if (this.state.targets().mayEject(now)) {
-			long time = target.eject(now);
-			explain(target.id(), "is ejected for " + time + " ms because " + why);
+			long ejectionMillis = target.eject(now);
+			logDecision(target.id(), "is ejected for " + ejectionMillis + " ms because " + reason);
 			return;
 		}
-		if (target.mayComplain(now)) {
-			explain(target.id(), "is kept in use although " + why
+		if (target.shouldLogCapWarning(now)) {
+			logDecision(target.id(), "is kept in use although " + reason
 					+ ": the share of ejected targets is at its bound, so the fault is probably common to all");
 		}
 	}
 
-	private void explain(TargetId target, String what) {
-		this.state.command(new RequestCommand.Explain("target/" + target, "target " + target + " " + what));
+	private void logDecision(TargetId target, String message) {
+		this.state.addCommand(new RequestCommand.LogDecision("target/" + target, "target " + target + " " + message));
 	}
 
 }
--- a/core/src/main/java/org/almondmount/requests/impl/TargetRecord.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetRecord.java
@@ -15,7 +15,7 @@
  */
 final class TargetRecord {
 
-	private static final int MOST_DOUBLINGS = 10;
+	private static final int MAX_EJECTION_DOUBLINGS = 10;
 
 	private final TargetId id;
 
@@ -25,32 +25,32 @@
 
 	private final long joinedAt;
 
-	private final List<Flight> flights = new ArrayList<>();
+	private final List<InFlightAttempt> inFlightAttempts = new ArrayList<>();
 
 	private int slots;
 
-	private boolean leaving;
+	private boolean draining;
 
-	private boolean full;
+	private boolean connectionFull;
 
-	private int errorsInRow;
+	private int consecutiveErrors;
 
-	private int ejectionsInRow;
+	private int consecutiveEjections;
 
 	private long ejectedUntil = Long.MIN_VALUE;
 
 	private boolean probing;
 
-	private long heardAt;
+	private long lastContactAt;
 
-	private long complainedAt = Long.MIN_VALUE / 2;
+	private long lastCapWarningAt = Long.MIN_VALUE / 2;
 
 	TargetRecord(TargetId id, ZoneId zone, int slots, long now, TargetPolicy policy) {
 		this.id = id;
 		this.zone = zone;
 		this.slots = slots;
 		this.joinedAt = now;
-		this.heardAt = now;
+		this.lastContactAt = now;
 		this.policy = policy;
 	}
 
@@ -70,63 +70,63 @@
 		return this.slots;
 	}
 
-	void lend(int newSlots) {
+	void setSlots(int newSlots) {
 		this.slots = newSlots;
-		this.full = false;
+		this.connectionFull = false;
 	}
 
-	boolean leaving() {
-		return this.leaving;
+	boolean draining() {
+		return this.draining;
 	}
 
-	void leave() {
-		this.leaving = true;
+	void startDraining() {
+		this.draining = true;
 	}
 
 	boolean probing() {
 		return this.probing;
 	}
 
-	boolean ejected(long now) {
+	boolean isEjected(long now) {
 		return now < this.ejectedUntil;
 	}
 
 	/**
 	 * The connection takes nothing right now; the next word from the target reopens it.
 	 */
-	void markFull() {
-		this.full = true;
+	void markConnectionFull() {
+		this.connectionFull = true;
 	}
 
-	boolean full() {
-		return this.full;
+	boolean connectionFull() {
+		return this.connectionFull;
 	}
 
-	void reopen() {
-		this.full = false;
+	void clearConnectionFull() {
+		this.connectionFull = false;
 	}
 
-	boolean hasRoom(long now) {
-		return !this.full && this.flights.size() < openSlots(now);
+	boolean hasFreeSlot(long now) {
+		return !this.connectionFull && this.inFlightAttempts.size() < usableSlots(now);
 	}
 
 	double load(long now) {
-		return (this.flights.size() + 1) / (double) Math.max(1, openSlots(now));
+		return (this.inFlightAttempts.size() + 1) / (double) Math.max(1, usableSlots(now));
 	}
 
-	Collection<Flight> flights() {
-		return this.flights;
+	Collection<InFlightAttempt> inFlightAttempts() {
+		return this.inFlightAttempts;
 	}
 
-	void take(Flight flight) {
-		if (this.flights.isEmpty()) {
-			this.heardAt = flight.sentAt();
+	void addAttempt(InFlightAttempt attempt) {
+		if (this.inFlightAttempts.isEmpty()) {
+			this.lastContactAt = attempt.sentAt();
 		}
-		this.flights.add(flight);
+		this.inFlightAttempts.add(attempt);
 	}
 
-	void drop(Flight flight) {
-		this.flights.remove(flight);
+	void removeAttempt(InFlightAttempt attempt) {
+		this.inFlightAttempts.remove(attempt);
 	}
 
 	/**
@@ -134,11 +134,11 @@
 	 * @param now the time
 	 * @return true once in the time of a first ejection
 	 */
-	boolean mayComplain(long now) {
-		if (now - this.complainedAt < this.policy.ejectFor().toMillis()) {
+	boolean shouldLogCapWarning(long now) {
+		if (now - this.lastCapWarningAt < this.policy.baseEjectionTime().toMillis()) {
 			return false;
 		}
-		this.complainedAt = now;
+		this.lastCapWarningAt = now;
 		return true;
 	}
 
@@ -149,23 +149,23 @@
 	 * @param attempt the attempt
 	 * @return the attempt, or null if it holds no slot here
 	 */
-	Flight free(long now, RequestId request, int attempt) {
-		this.heardAt = now;
-		this.full = false;
-		Iterator<Flight> all = this.flights.iterator();
-		while (all.hasNext()) {
-			Flight flight = all.next();
-			if (flight.attempt() == attempt && flight.request().equals(request)) {
-				all.remove();
-				return flight;
+	InFlightAttempt releaseSlot(long now, RequestId request, int attempt) {
+		this.lastContactAt = now;
+		this.connectionFull = false;
+		Iterator<InFlightAttempt> iterator = this.inFlightAttempts.iterator();
+		while (iterator.hasNext()) {
+			InFlightAttempt inFlight = iterator.next();
+			if (inFlight.attempt() == attempt && inFlight.request().equals(request)) {
+				iterator.remove();
+				return inFlight;
 			}
 		}
 		return null;
 	}
 
-	void succeeded() {
-		this.errorsInRow = 0;
-		this.ejectionsInRow = 0;
+	void recordSuccess() {
+		this.consecutiveErrors = 0;
+		this.consecutiveEjections = 0;
 		this.probing = false;
 	}
 
@@ -173,9 +173,9 @@
 	 * Counts an error.
 	 * @return whether the target should be ejected
 	 */
-	boolean failed() {
-		this.errorsInRow++;
-		return this.probing || this.errorsInRow >= this.policy.errorsToEject();
+	boolean recordFailure() {
+		this.consecutiveErrors++;
+		return this.probing || this.consecutiveErrors >= this.policy.consecutiveErrorsToEject();
 	}
 
 	/**
@@ -183,12 +183,12 @@
 	 * @param now the time
 	 * @return true if it should be ejected
 	 */
-	boolean stalled(long now) {
-		if (this.flights.isEmpty() || now - this.heardAt <= this.policy.stallAfter().toMillis()) {
+	boolean isStalled(long now) {
+		if (this.inFlightAttempts.isEmpty() || now - this.lastContactAt <= this.policy.stallTimeout().toMillis()) {
 			return false;
 		}
-		for (Flight flight : this.flights) {
-			if (flight.overdueAt() > now) {
+		for (InFlightAttempt attempt : this.inFlightAttempts) {
+			if (attempt.overdueAt() > now) {
 				return false;
 			}
 		}
@@ -196,27 +196,28 @@
 	}
 
 	long eject(long now) {
-		long time = this.policy.ejectFor().toMillis() << Math.min(MOST_DOUBLINGS, this.ejectionsInRow);
-		time = Math.min(time, this.policy.ejectAtMost().toMillis());
-		this.ejectionsInRow++;
-		this.errorsInRow = 0;
+		long ejectionMillis = this.policy.baseEjectionTime().toMillis() << Math.min(MAX_EJECTION_DOUBLINGS,
+				this.consecutiveEjections);
+		ejectionMillis = Math.min(ejectionMillis, this.policy.maxEjectionTime().toMillis());
+		this.consecutiveEjections++;
+		this.consecutiveErrors = 0;
 		this.probing = true;
-		this.ejectedUntil = now + time;
-		return time;
+		this.ejectedUntil = now + ejectionMillis;
+		return ejectionMillis;
 	}
 
 	// A fresh instance that gets its full share at once answers its first requests slowly
 	// and is then taken for a stalled one; a target on trial gets one request at a time.
-	private int openSlots(long now) {
+	private int usableSlots(long now) {
 		if (this.probing) {
 			return Math.min(1, this.slots);
 		}
-		long ramp = this.policy.slowStart().toMillis();
-		long age = now - this.joinedAt;
-		if (age >= ramp) {
+		long slowStartMillis = this.policy.slowStart().toMillis();
+		long ageMillis = now - this.joinedAt;
+		if (ageMillis >= slowStartMillis) {
 			return this.slots;
 		}
-		double share = this.policy.slowStartShare() + (1 - this.policy.slowStartShare()) * age / ramp;
+		double share = this.policy.slowStartShare() + (1 - this.policy.slowStartShare()) * ageMillis / slowStartMillis;
 		return Math.min(this.slots, (int) Math.ceil(this.slots * share));
 	}
 
--- a/core/src/main/java/org/almondmount/requests/impl/TargetTable.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetTable.java
@@ -59,11 +59,11 @@
 	 * @return true if it may
 	 */
 	boolean mayServe(Configuration configuration, TargetRecord target) {
-		return target.slots() > 0 && mayServeOnceItLends(configuration, target);
+		return target.slots() > 0 && mayServeOnceSlotsAreLent(configuration, target);
 	}
 
-	private static boolean mayServeOnceItLends(Configuration configuration, TargetRecord target) {
-		return !target.leaving() && configuration.zone(target.zone()).acceptsWork();
+	private static boolean mayServeOnceSlotsAreLent(Configuration configuration, TargetRecord target) {
+		return !target.draining() && configuration.zone(target.zone()).acceptsWork();
 	}
 
 	boolean anyMayServe(Configuration configuration) {
@@ -82,15 +82,15 @@
 	 * request that the leaving one did not start would be refused beside it.
 	 * @param now the time
 	 * @param configuration the accepted configuration
-	 * @param tried targets to leave out
+	 * @param triedTargets targets to leave out
 	 * @return true if there is one
 	 */
-	boolean anyUntried(long now, Configuration configuration, Set<TargetId> tried) {
-		long joinedSince = now - this.policy.noTargetWait().toMillis();
+	boolean anyUntried(long now, Configuration configuration, Set<TargetId> triedTargets) {
+		long joinedAfterMillis = now - this.policy.noTargetTimeout().toMillis();
 		for (TargetRecord target : this.targets.values()) {
 			boolean serves = mayServe(configuration, target)
-					|| mayServeOnceItLends(configuration, target) && target.joinedAt() > joinedSince;
-			if (serves && !tried.contains(target.id())) {
+					|| mayServeOnceSlotsAreLent(configuration, target) && target.joinedAt() > joinedAfterMillis;
+			if (serves && !triedTargets.contains(target.id())) {
 				return true;
 			}
 		}
@@ -102,28 +102,28 @@
 	 * @param configuration the accepted configuration
 	 * @return true if a zone that is out is the reason
 	 */
-	boolean anyInZoneOut(Configuration configuration) {
+	boolean anyExcludedByZoneState(Configuration configuration) {
 		for (TargetRecord target : this.targets.values()) {
-			if (!target.leaving() && !configuration.zone(target.zone()).acceptsWork()) {
+			if (!target.draining() && !configuration.zone(target.zone()).acceptsWork()) {
 				return true;
 			}
 		}
 		return false;
 	}
 
-	int slots(long now, Configuration configuration) {
+	int usableSlots(long now, Configuration configuration) {
 		int slots = 0;
 		for (TargetRecord target : this.targets.values()) {
-			if (mayServe(configuration, target) && !target.ejected(now)) {
+			if (mayServe(configuration, target) && !target.isEjected(now)) {
 				slots += target.slots();
 			}
 		}
 		return slots;
 	}
 
-	boolean anyRoom(long now, Configuration configuration) {
+	boolean anyFreeSlot(long now, Configuration configuration) {
 		for (TargetRecord target : this.targets.values()) {
-			if (mayServe(configuration, target) && !target.ejected(now) && target.hasRoom(now)) {
+			if (mayServe(configuration, target) && !target.isEjected(now) && target.hasFreeSlot(now)) {
 				return true;
 			}
 		}
@@ -135,21 +135,21 @@
 	 * entry's own zone if there is one.
 	 * @param now the time
 	 * @param configuration the accepted configuration
-	 * @param tried targets to leave out
+	 * @param triedTargets targets to leave out
 	 * @return the target, or empty if none has room
 	 */
-	Optional<TargetRecord> choose(long now, Configuration configuration, Set<TargetId> tried) {
-		List<TargetRecord> near = new ArrayList<>();
-		List<TargetRecord> far = new ArrayList<>();
+	Optional<TargetRecord> choose(long now, Configuration configuration, Set<TargetId> triedTargets) {
+		List<TargetRecord> inOwnZone = new ArrayList<>();
+		List<TargetRecord> inOtherZones = new ArrayList<>();
 		for (TargetRecord target : this.targets.values()) {
-			if (!mayServe(configuration, target) || target.ejected(now) || !target.hasRoom(now)
-					|| tried.contains(target.id())) {
+			if (!mayServe(configuration, target) || target.isEjected(now) || !target.hasFreeSlot(now)
+					|| triedTargets.contains(target.id())) {
 				continue;
 			}
-			boolean own = this.policy.ownZone().isPresent() && this.policy.ownZone().get().equals(target.zone());
-			(own ? near : far).add(target);
+			boolean isOwnZone = this.policy.ownZone().isPresent() && this.policy.ownZone().get().equals(target.zone());
+			(isOwnZone ? inOwnZone : inOtherZones).add(target);
 		}
-		return near.isEmpty() ? lessLoadedOfTwo(now, far) : lessLoadedOfTwo(now, near);
+		return inOwnZone.isEmpty() ? lessLoadedOfTwo(now, inOtherZones) : lessLoadedOfTwo(now, inOwnZone);
 	}
 
 	/**
@@ -158,26 +158,26 @@
 	 * @return false when the share that is ejected is at its bound
 	 */
 	boolean mayEject(long now) {
-		int ejected = 0;
+		int ejectedCount = 0;
 		for (TargetRecord target : this.targets.values()) {
-			if (target.ejected(now)) {
-				ejected++;
+			if (target.isEjected(now)) {
+				ejectedCount++;
 			}
 		}
-		int most = (int) Math.floor(this.targets.size() * this.policy.targets().maxEjectedShare());
+		int maxEjected = (int) Math.floor(this.targets.size() * this.policy.targets().maxEjectedShare());
 		if (this.targets.size() > 1) {
-			most = Math.max(1, most);
+			maxEjected = Math.max(1, maxEjected);
 		}
-		return ejected < most;
+		return ejectedCount < maxEjected;
 	}
 
 	private Optional<TargetRecord> lessLoadedOfTwo(long now, List<TargetRecord> candidates) {
 		if (candidates.isEmpty()) {
 			return Optional.empty();
 		}
-		TargetRecord one = candidates.get(this.random.nextInt(candidates.size()));
-		TargetRecord other = candidates.get(this.random.nextInt(candidates.size()));
-		return Optional.of((other.load(now) < one.load(now)) ? other : one);
+		TargetRecord first = candidates.get(this.random.nextInt(candidates.size()));
+		TargetRecord second = candidates.get(this.random.nextInt(candidates.size()));
+		return Optional.of((second.load(now) < first.load(now)) ? second : first);
 	}
 
 }
--- a/core/src/main/java/org/almondmount/slots/SlotCommand.java
+++ b/core/src/main/java/org/almondmount/slots/SlotCommand.java
@@ -17,7 +17,7 @@
 	}
 
 	/** Answer the entry: it did not start and never will. */
-	record RefuseNotStarted(EntryId entry, RequestId request, int attempt, String why) implements SlotCommand {
+	record RefuseNotStarted(EntryId entry, RequestId request, int attempt, String reason) implements SlotCommand {
 	}
 
 	/** Pass the instance's whole answer to the entry. */
@@ -27,11 +27,11 @@
 	/**
 	 * Tell the entry that the instance may have run it and nobody can tell how it ended.
 	 */
-	record AnswerBroken(EntryId entry, RequestId request, int attempt, String why) implements SlotCommand {
+	record AnswerBroken(EntryId entry, RequestId request, int attempt, String reason) implements SlotCommand {
 	}
 
 	/** Tell every entry that this target takes no new work. */
-	record AnnounceLeaving() implements SlotCommand {
+	record AnnounceDraining() implements SlotCommand {
 	}
 
 	/** Everything is answered: the process may end. */
--- a/core/src/main/java/org/almondmount/slots/SlotEvent.java
+++ b/core/src/main/java/org/almondmount/slots/SlotEvent.java
@@ -22,9 +22,9 @@
 	 * sent after them on the same connection.
 	 *
 	 * @param entry the entry
-	 * @param loans how many of the loans that it was told since it joined
+	 * @param loanCount how many of the loans that it was told since it joined
 	 */
-	record LoanSeen(EntryId entry, int loans) implements SlotEvent {
+	record LoanConfirmed(EntryId entry, int loanCount) implements SlotEvent {
 	}
 
 	/** An entry sends an attempt. The deadline is in this process's time. */
@@ -40,11 +40,11 @@
 	}
 
 	/** The instance broke off or timed out. */
-	record CallBroken(RequestId request, int attempt, boolean instanceSawIt, String why) implements SlotEvent {
+	record CallBroken(RequestId request, int attempt, boolean reachedInstance, String reason) implements SlotEvent {
 	}
 
 	/** The zone's state as last heard, and when it was true at the source. */
-	record ZoneHeard(ZoneState state) implements SlotEvent {
+	record ZoneStateReceived(ZoneState state) implements SlotEvent {
 	}
 
 	/** The process shuts down or its VM leaves. */
@@ -52,7 +52,7 @@
 	}
 
 	/** A regular tick. */
-	record TimePassed() implements SlotEvent {
+	record Tick() implements SlotEvent {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/slots/SlotPolicy.java
+++ b/core/src/main/java/org/almondmount/slots/SlotPolicy.java
@@ -34,7 +34,7 @@
 	 * Attempts that may run at the same time.
 	 * @return the smaller of slots and connections
 	 */
-	public int mostRunning() {
+	public int maxRunning() {
 		return Math.min(this.slots, this.connections);
 	}
 
--- a/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
+++ b/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
@@ -20,11 +20,11 @@
 
 	private final SlotPolicy policy;
 
-	private final LoanBook loans;
+	private final SlotAllocator allocator;
 
-	private final AttemptMemory memory;
+	private final AttemptHistory history;
 
-	private final Map<AttemptKey, Running> running = new HashMap<>();
+	private final Map<AttemptKey, RunningAttempt> running = new HashMap<>();
 
 	private ZoneState zone = ZoneState.IN;
 
@@ -36,8 +36,8 @@
 
 	public DefaultSlotGate(SlotPolicy policy) {
 		this.policy = policy;
-		this.loans = new LoanBook(policy.mostRunning(), policy.rotation());
-		this.memory = new AttemptMemory(policy.remember().toMillis(), policy.rememberAtMost());
+		this.allocator = new SlotAllocator(policy.maxRunning(), policy.rotation());
+		this.history = new AttemptHistory(policy.remember().toMillis(), policy.rememberAtMost());
 	}
 
 	@Override
@@ -48,80 +48,80 @@
 	@Override
 	public List<SlotCommand> handle(long now, SlotEvent event) {
 		this.commands = new ArrayList<>();
-		this.memory.expire(now);
-		take(now, event);
+		this.history.expire(now);
+		handleEvent(now, event);
 		rebalance();
 		announceDrained();
 		return this.commands;
 	}
 
-	private void take(long now, SlotEvent event) {
+	private void handleEvent(long now, SlotEvent event) {
 		if (event instanceof SlotEvent.EntryJoined joined) {
-			this.loans.join(joined.entry());
+			this.allocator.addEntry(joined.entry());
 		}
 		else if (event instanceof SlotEvent.EntryLost lost) {
-			this.loans.lose(lost.entry());
+			this.allocator.removeEntry(lost.entry());
 		}
-		else if (event instanceof SlotEvent.LoanSeen seen) {
-			this.loans.seen(seen.entry(), seen.loans());
+		else if (event instanceof SlotEvent.LoanConfirmed confirmed) {
+			this.allocator.confirm(confirmed.entry(), confirmed.loanCount());
 		}
 		else if (event instanceof SlotEvent.CallReceived call) {
-			received(now, call);
+			onCallReceived(now, call);
 		}
 		else if (event instanceof SlotEvent.CallCancelled cancelled) {
-			cancelled(now, cancelled);
+			onCallCancelled(now, cancelled);
 		}
 		else if (event instanceof SlotEvent.CallEnded ended) {
-			ended(now, ended);
+			onCallEnded(now, ended);
 		}
 		else if (event instanceof SlotEvent.CallBroken broken) {
-			broken(now, broken);
+			onCallBroken(now, broken);
 		}
-		else if (event instanceof SlotEvent.ZoneHeard heard) {
-			this.zone = heard.state();
+		else if (event instanceof SlotEvent.ZoneStateReceived received) {
+			this.zone = received.state();
 		}
 		else if (event instanceof SlotEvent.Draining) {
-			drain();
+			startDraining();
 		}
 	}
 
-	private void received(long now, SlotEvent.CallReceived call) {
+	private void onCallReceived(long now, SlotEvent.CallReceived call) {
 		AttemptKey attempt = new AttemptKey(call.request(), call.attempt());
 		// "Not started" about an attempt that ran would have the entry send it again, so
 		// a copy of one is dropped: its own answer is or was on the way.
-		if (this.running.containsKey(attempt) || this.memory.ran(attempt)) {
+		if (this.running.containsKey(attempt) || this.history.hasRun(attempt)) {
 			return;
 		}
-		if (this.memory.neverRan(attempt)) {
+		if (this.history.isKnownNotRun(attempt)) {
 			refuse(call, "it had been given up or refused before this copy came");
 			return;
 		}
-		if (!this.memory.hasRoom()) {
+		if (!this.history.hasCapacity()) {
 			this.commands.add(new SlotCommand.AnswerBroken(call.entry(), call.request(), call.attempt(),
 					"the target's memory of attempts is full, so that it cannot promise that no copy runs"));
 			return;
 		}
-		String why = refusal(now, call);
-		this.memory.remember(now, attempt, why == null);
-		if (why != null) {
-			refuse(call, why);
+		String refusalReason = refusalReason(now, call);
+		this.history.record(now, attempt, refusalReason == null);
+		if (refusalReason != null) {
+			refuse(call, refusalReason);
 			return;
 		}
-		this.running.put(attempt, new Running(call.entry()));
+		this.running.put(attempt, new RunningAttempt(call.entry()));
 		this.commands.add(new SlotCommand.Run(call.entry(), call.request(), call.attempt(), call.deadlineMillis()));
 	}
 
-	private void cancelled(long now, SlotEvent.CallCancelled call) {
+	private void onCallCancelled(long now, SlotEvent.CallCancelled call) {
 		AttemptKey attempt = new AttemptKey(call.request(), call.attempt());
-		boolean known = this.running.containsKey(attempt) || this.memory.ran(attempt);
+		boolean known = this.running.containsKey(attempt) || this.history.hasRun(attempt);
 		// The entry never calls a cancelled attempt "not run", so that a full memory may
 		// skip it.
-		if (!known && this.memory.hasRoom()) {
-			this.memory.remember(now, attempt, false);
+		if (!known && this.history.hasCapacity()) {
+			this.history.record(now, attempt, false);
 		}
 	}
 
-	private String refusal(long now, SlotEvent.CallReceived call) {
+	private String refusalReason(long now, SlotEvent.CallReceived call) {
 		if (this.draining) {
 			return "the target is leaving";
 		}
@@ -131,56 +131,56 @@
 		if (call.deadlineMillis() <= now) {
 			return "the deadline has passed";
 		}
-		if (this.running.size() >= this.policy.mostRunning()) {
+		if (this.running.size() >= this.policy.maxRunning()) {
 			return "every slot is in use";
 		}
 		return null;
 	}
 
-	private void refuse(SlotEvent.CallReceived call, String why) {
-		this.commands.add(new SlotCommand.RefuseNotStarted(call.entry(), call.request(), call.attempt(), why));
+	private void refuse(SlotEvent.CallReceived call, String reason) {
+		this.commands.add(new SlotCommand.RefuseNotStarted(call.entry(), call.request(), call.attempt(), reason));
 	}
 
-	private void ended(long now, SlotEvent.CallEnded ended) {
-		Running run = leaveSlot(now, new AttemptKey(ended.request(), ended.attempt()), true);
+	private void onCallEnded(long now, SlotEvent.CallEnded ended) {
+		RunningAttempt run = releaseSlot(now, new AttemptKey(ended.request(), ended.attempt()), true);
 		if (run != null) {
 			this.commands.add(new SlotCommand.Answer(run.entry(), ended.request(), ended.attempt()));
 		}
 	}
 
-	private void broken(long now, SlotEvent.CallBroken broken) {
+	private void onCallBroken(long now, SlotEvent.CallBroken broken) {
 		AttemptKey attempt = new AttemptKey(broken.request(), broken.attempt());
-		Running run = leaveSlot(now, attempt, broken.instanceSawIt());
+		RunningAttempt run = releaseSlot(now, attempt, broken.reachedInstance());
 		if (run == null) {
 			return;
 		}
-		this.commands.add(broken.instanceSawIt()
-				? new SlotCommand.AnswerBroken(run.entry(), broken.request(), broken.attempt(), broken.why())
-				: new SlotCommand.RefuseNotStarted(run.entry(), broken.request(), broken.attempt(), broken.why()));
+		this.commands.add(broken.reachedInstance()
+				? new SlotCommand.AnswerBroken(run.entry(), broken.request(), broken.attempt(), broken.reason())
+				: new SlotCommand.RefuseNotStarted(run.entry(), broken.request(), broken.attempt(), broken.reason()));
 	}
 
 	// The time of remembering counts from the end: a copy may come while it runs.
-	private Running leaveSlot(long now, AttemptKey attempt, boolean ran) {
-		Running run = this.running.remove(attempt);
+	private RunningAttempt releaseSlot(long now, AttemptKey attempt, boolean ran) {
+		RunningAttempt run = this.running.remove(attempt);
 		if (run != null) {
-			this.memory.remember(now, attempt, ran);
+			this.history.record(now, attempt, ran);
 		}
 		return run;
 	}
 
-	private void drain() {
+	private void startDraining() {
 		if (!this.draining) {
 			this.draining = true;
-			this.commands.add(new SlotCommand.AnnounceLeaving());
+			this.commands.add(new SlotCommand.AnnounceDraining());
 		}
 	}
 
 	private void rebalance() {
 		Map<EntryId, Integer> inUse = new TreeMap<>();
-		for (Running run : this.running.values()) {
+		for (RunningAttempt run : this.running.values()) {
 			inUse.merge(run.entry(), 1, Integer::sum);
 		}
-		this.loans.rebalance(inUse)
+		this.allocator.rebalance(inUse)
 			.forEach((entry, slots) -> this.commands.add(new SlotCommand.LendSlots(entry, slots)));
 	}
 
@@ -191,7 +191,7 @@
 		}
 	}
 
-	private record Running(EntryId entry) {
+	private record RunningAttempt(EntryId entry) {
 	}
 
 }
--- a/core/src/main/java/org/almondmount/slots/impl/LoanBook.java
+++ b/core/src/main/java/org/almondmount/slots/impl/SlotAllocator.java
@@ -14,7 +14,7 @@
  * smaller loan and no longer uses it: what entries believe never adds up to more than
  * there is.
  */
-final class LoanBook {
+final class SlotAllocator {
 
 	private final int slots;
 
@@ -27,25 +27,25 @@
 	 * @param slots all slots
 	 * @param rotation where the entries that get one slot more begin
 	 */
-	LoanBook(int slots, int rotation) {
+	SlotAllocator(int slots, int rotation) {
 		this.slots = slots;
 		this.rotation = rotation;
 	}
 
-	void join(EntryId entry) {
+	void addEntry(EntryId entry) {
 		this.loans.put(entry, new Loan());
 	}
 
-	void lose(EntryId entry) {
+	void removeEntry(EntryId entry) {
 		this.loans.remove(entry);
 	}
 
 	// A confirmation of an earlier loan says nothing, even if that was of as many slots:
 	// a larger one may still be on the way.
-	void seen(EntryId entry, int loansSeen) {
+	void confirm(EntryId entry, int confirmedCount) {
 		Loan loan = this.loans.get(entry);
-		if (loan != null && loan.told == loansSeen) {
-			loan.believed = loan.lent;
+		if (loan != null && loan.announcedCount == confirmedCount) {
+			loan.assumed = loan.lent;
 		}
 	}
 
@@ -65,62 +65,62 @@
 		int index = 0;
 		for (Map.Entry<EntryId, Loan> entry : this.loans.entrySet()) {
 			Loan loan = entry.getValue();
-			loan.fair = fairShare(index++);
-			if (loan.lent > loan.fair) {
-				loan.lent = loan.fair;
-				loan.told++;
+			loan.fairShare = fairShare(index++);
+			if (loan.lent > loan.fairShare) {
+				loan.lent = loan.fairShare;
+				loan.announcedCount++;
 				changed.put(entry.getKey(), loan.lent);
 			}
 		}
 	}
 
 	private void grow(Map<EntryId, Integer> changed, Map<EntryId, Integer> inUse) {
-		int free = this.slots - taken(inUse);
+		int free = this.slots - unavailable(inUse);
 		for (Map.Entry<EntryId, Loan> entry : this.loans.entrySet()) {
 			Loan loan = entry.getValue();
-			int more = Math.min(free, loan.fair - loan.lent);
-			if (more > 0) {
-				loan.lent += more;
-				loan.believed = Math.max(loan.believed, loan.lent);
-				free -= more;
-				loan.told++;
+			int additional = Math.min(free, loan.fairShare - loan.lent);
+			if (additional > 0) {
+				loan.lent += additional;
+				loan.assumed = Math.max(loan.assumed, loan.lent);
+				free -= additional;
+				loan.announcedCount++;
 				changed.put(entry.getKey(), loan.lent);
 			}
-			else if (loan.told == 0) {
-				loan.told++;
+			else if (loan.announcedCount == 0) {
+				loan.announcedCount++;
 				changed.put(entry.getKey(), loan.lent);
 			}
 		}
 	}
 
-	private int taken(Map<EntryId, Integer> inUse) {
-		int taken = 0;
+	private int unavailable(Map<EntryId, Integer> inUse) {
+		int count = 0;
 		for (Map.Entry<EntryId, Loan> entry : this.loans.entrySet()) {
-			taken += Math.max(entry.getValue().believed, inUse.getOrDefault(entry.getKey(), 0));
+			count += Math.max(entry.getValue().assumed, inUse.getOrDefault(entry.getKey(), 0));
 		}
 		for (Map.Entry<EntryId, Integer> entry : inUse.entrySet()) {
 			if (!this.loans.containsKey(entry.getKey())) {
-				taken += entry.getValue();
+				count += entry.getValue();
 			}
 		}
-		return taken;
+		return count;
 	}
 
 	private int fairShare(int index) {
 		int share = this.slots / this.loans.size();
-		int turn = Math.floorMod(index + this.rotation, this.loans.size());
-		return (turn < this.slots % this.loans.size()) ? share + 1 : share;
+		int position = Math.floorMod(index + this.rotation, this.loans.size());
+		return (position < this.slots % this.loans.size()) ? share + 1 : share;
 	}
 
 	private static final class Loan {
 
-		private int fair;
+		private int fairShare;
 
 		private int lent;
 
-		private int believed;
+		private int assumed;
 
-		private int told;
+		private int announcedCount;
 
 	}
 
--- a/core/src/test/java/org/almondmount/ArchitectureTests.java
+++ b/core/src/test/java/org/almondmount/ArchitectureTests.java
@@ -11,20 +11,20 @@
 class ArchitectureTests {
 
 	@ArchTest
-	final ArchRule decisionsHaveNoInputOutput = ArchRuleDefinition.noClasses()
+	final ArchRule decisionCodeDoesNoInputOutput = ArchRuleDefinition.noClasses()
 		.should()
 		.dependOnClassesThat()
 		.resideInAnyPackage("io.netty..", "java.net..", "java.nio..", "java.io..", "org.msgpack..", "com.fasterxml..",
 				"java.util.concurrent..");
 
 	@ArchTest
-	final ArchRule decisionsHaveNoThreads = ArchRuleDefinition.noClasses()
+	final ArchRule decisionCodeUsesNoThreads = ArchRuleDefinition.noClasses()
 		.should()
 		.dependOnClassesThat()
 		.areAssignableTo(Thread.class);
 
 	@ArchTest
-	final ArchRule decisionsHaveNoClock = ArchRuleDefinition.noClasses()
+	final ArchRule decisionCodeReadsNoClock = ArchRuleDefinition.noClasses()
 		.should()
 		.callMethod(System.class, "nanoTime")
 		.orShould()
@@ -34,7 +34,7 @@
 		.areAssignableTo(java.time.Clock.class);
 
 	@ArchTest
-	final ArchRule decisionsHaveNoRandomSourceOfTheirOwn = ArchRuleDefinition.noClasses()
+	final ArchRule decisionCodeCreatesNoRandomSource = ArchRuleDefinition.noClasses()
 		.should()
 		.callConstructor(java.util.Random.class)
 		.orShould()
--- a/core/src/test/java/org/almondmount/configuration/ConfirmationKeeperTests.java
+++ b/core/src/test/java/org/almondmount/configuration/ConfirmationManagerTests.java
@@ -15,20 +15,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ConfirmationKeeperTests {
+class ConfirmationManagerTests {
 
 	private static final Configuration CURRENT = Configuration.EMPTY.withRevision(4);
 
-	private final ConfirmationKeeper keeper = new ConfirmationKeeper(10_000);
+	private final ConfirmationManager manager = new ConfirmationManager(10_000);
 
 	@Test
-	void startsAreHeldBackFromBeforeTheCommitUntilItsEndingIsKnown() {
+	void startsAreHeldFromBeforeTheCommitUntilItsOutcomeIsKnown() {
 		List<ConfirmationCommand> commands = confirm(0, 1, 4);
 		assertThat(commands.get(0)).isInstanceOf(ConfirmationCommand.HoldStarts.class);
 		assertThat(commands.get(1)).isInstanceOf(ConfirmationCommand.Commit.class);
-		assertThat(this.keeper.holdsStarts()).isTrue();
-		List<ConfirmationCommand> after = this.keeper.handle(20,
-				new ConfirmationEvent.CommitEnded(5, ConfirmationEvent.Ending.COMMITTED));
+		assertThat(this.manager.areStartsHeld()).isTrue();
+		List<ConfirmationCommand> after = this.manager.handle(20,
+				new ConfirmationEvent.CommitEnded(5, ConfirmationEvent.CommitOutcome.COMMITTED));
 		assertThat(after.get(0)).isInstanceOf(ConfirmationCommand.Accepted.class);
 		assertThat(after.get(1)).isInstanceOf(ConfirmationCommand.AllowStarts.class);
 		assertThat(after.get(2)).isEqualTo(new ConfirmationCommand.AnswerAccepted(1, 5));
@@ -37,46 +37,47 @@
 	@Test
 	void aPlanAgainstAnotherRevisionIsSuperseded() {
 		assertThat(refusal(confirm(0, 1, 3))).isEqualTo(RefusalReason.SUPERSEDED);
-		assertThat(this.keeper.holdsStarts()).isFalse();
+		assertThat(this.manager.areStartsHeld()).isFalse();
 	}
 
 	// The table doesn't say whether the zone is out. The operator hears that it is not
 	// known, and still nothing starts: the zone may be out.
 	@Test
-	void anEndingThatStaysUnknownIsToldAsSuchAndStartsStayHeldBack() {
+	void anUnknownCommitOutcomeIsReportedAndStartsStayHeld() {
 		confirm(0, 1, 4);
-		assertThat(this.keeper.handle(9_999, new ConfirmationEvent.TimePassed())).isEmpty();
-		ConfirmationCommand.AnswerRefused late = (ConfirmationCommand.AnswerRefused) this.keeper
-			.handle(10_000, new ConfirmationEvent.TimePassed())
+		assertThat(this.manager.handle(9_999, new ConfirmationEvent.Tick())).isEmpty();
+		ConfirmationCommand.AnswerRefused late = (ConfirmationCommand.AnswerRefused) this.manager
+			.handle(10_000, new ConfirmationEvent.Tick())
 			.get(0);
 		assertThat(late.refusal().reason()).isEqualTo(RefusalReason.STORE_UNKNOWN);
-		assertThat(late.refusal().ran()).isEqualTo(RunState.MAY_HAVE_RUN);
-		assertThat(this.keeper.holdsStarts()).isTrue();
-		assertThat(this.keeper.handle(20_000, new ConfirmationEvent.CommitEnded(5, ConfirmationEvent.Ending.COMMITTED)))
+		assertThat(late.refusal().runState()).isEqualTo(RunState.MAY_HAVE_RUN);
+		assertThat(this.manager.areStartsHeld()).isTrue();
+		assertThat(this.manager.handle(20_000,
+				new ConfirmationEvent.CommitEnded(5, ConfirmationEvent.CommitOutcome.COMMITTED)))
 			.hasSize(2);
-		assertThat(this.keeper.holdsStarts()).isFalse();
+		assertThat(this.manager.areStartsHeld()).isFalse();
 	}
 
 	// Two operators confirm at once. The second would be planned against a configuration
 	// that may already be another.
 	@Test
-	void aSecondConfirmationWaitsForTheFirstsEnding() {
+	void aConfirmationIsRefusedWhileAnotherIsPending() {
 		confirm(0, 1, 4);
 		assertThat(refusal(confirm(5, 2, 4))).isEqualTo(RefusalReason.STORE_UNKNOWN);
 	}
 
 	@Test
-	void aCommitThatLostTheRaceIsSuperseded() {
+	void aCommitAfterAnotherChangeIsRefusedAsSuperseded() {
 		confirm(0, 1, 4);
-		List<ConfirmationCommand> after = this.keeper.handle(9,
-				new ConfirmationEvent.CommitEnded(5, ConfirmationEvent.Ending.SUPERSEDED));
+		List<ConfirmationCommand> after = this.manager.handle(9,
+				new ConfirmationEvent.CommitEnded(5, ConfirmationEvent.CommitOutcome.SUPERSEDED));
 		assertThat(refusal(after)).isEqualTo(RefusalReason.SUPERSEDED);
 	}
 
 	private List<ConfirmationCommand> confirm(long now, long request, long against) {
 		Intent out = new Intent.SetZone(new ZoneId("lulea-a"), ZoneState.OUT);
 		PlanEffects none = new PlanEffects(Optional.empty(), List.of(), List.of(), List.of(), List.of());
-		return this.keeper.handle(now,
+		return this.manager.handle(now,
 				new ConfirmationEvent.Confirmed(request, new Plan("p1", out, against, none), CURRENT));
 	}
 
--- a/core/src/test/java/org/almondmount/intake/IntakePolicyTests.java
+++ b/core/src/test/java/org/almondmount/intake/IntakePolicyTests.java
@@ -11,55 +11,56 @@
 	private final IntakePolicy policy = IntakePolicy.DEFAULT;
 
 	@Test
-	void whatWasSentNowhereLeavesItsCallerTheGreaterPartOfItsTime() {
-		long waited = this.policy.waitsUntil(10_000, 3_000, false) - 10_000;
+	void aJobThatWasNotSentLeavesItsCallerMostOfItsTimeout() {
+		long waited = this.policy.waitDeadline(10_000, 3_000, false) - 10_000;
 		assertThat(waited).isPositive().isLessThan(1_500);
 	}
 
 	@Test
-	void whatMayBeKeptWaitsAsLongAsItsCaller() {
-		assertThat(this.policy.waitsUntil(10_000, 3_000, true)).isBetween(12_500L, 12_999L);
+	void aJobThatMayBeStoredWaitsForItsCallersWholeTimeout() {
+		assertThat(this.policy.waitDeadline(10_000, 3_000, true)).isBetween(12_500L, 12_999L);
 	}
 
 	@Test
-	void aCallerWithoutTimeIsAnsweredAtOnce() {
-		assertThat(this.policy.waitsUntil(10_000, 0, false)).isEqualTo(10_000);
-		assertThat(this.policy.waitsUntil(10_000, this.policy.wayBackMillis(), true)).isEqualTo(10_000);
+	void aCallerWithoutRemainingTimeIsAnsweredImmediately() {
+		assertThat(this.policy.waitDeadline(10_000, 0, false)).isEqualTo(10_000);
+		assertThat(this.policy.waitDeadline(10_000, this.policy.responseMarginMillis(), true)).isEqualTo(10_000);
 	}
 
 	@Test
-	void whatHasNoTimeForAnotherTryWaitsToItsEnd() {
-		assertThat(this.policy.waitsUntil(10_000, 500, false)).isBetween(10_350L, 10_499L);
+	void aJobWithoutTimeForAnotherAttemptWaitsForItsWholeTimeout() {
+		assertThat(this.policy.waitDeadline(10_000, 500, false)).isBetween(10_350L, 10_499L);
 	}
 
 	// Told to come back in a second, a caller with less than that never comes: it is lost
 	// by our own advice.
 	@Test
-	void noCallerIsToldToComeBackAfterItsTime() {
-		for (IntakeRefusal why : IntakeRefusal.values()) {
-			for (long left = 0; left < 5_000; left += 50) {
-				assertThat(this.policy.comeBackAfter(why, left)).as("%s with %d ms left", why, left)
-					.isLessThanOrEqualTo(Duration.ofMillis(left));
+	void retryAfterNeverExceedsTheRemainingTime() {
+		for (IntakeRefusal reason : IntakeRefusal.values()) {
+			for (long remainingMillis = 0; remainingMillis < 5_000; remainingMillis += 50) {
+				assertThat(this.policy.retryAfter(reason, remainingMillis))
+					.as("%s with %d ms left", reason, remainingMillis)
+					.isLessThanOrEqualTo(Duration.ofMillis(remainingMillis));
 			}
 		}
 	}
 
 	@Test
-	void whoFindsTheLineFullComesLater() {
-		assertThat(this.policy.comeBackAfter(IntakeRefusal.TOO_MANY_WAIT, 3_000)).isPositive();
+	void aCallerRefusedByAFullQueueRetriesLater() {
+		assertThat(this.policy.retryAfter(IntakeRefusal.TOO_MANY_WAIT, 3_000)).isPositive();
 	}
 
 	// A caller of three seconds whose store is away: each entry lets it wait and tells it
 	// when to come back. Whenever the store returns before the last tenth of its time, it
 	// must be in line, and it may not need more than five tries for that.
 	@Test
-	void aCallerThatFollowsTheAdviceIsInLineAllTheTime() {
+	void aCallerThatFollowsRetryAfterIsAlwaysQueued() {
 		long now = 0;
 		for (int attempt = 0; attempt < 5; attempt++) {
-			long until = this.policy.waitsUntil(now, 3_000 - now, false);
-			assertThat(until).isGreaterThanOrEqualTo(now);
-			now = until;
-			assertThat(this.policy.comeBackAfter(IntakeRefusal.STORE_SILENT, 3_000 - now)).isZero();
+			long deadline = this.policy.waitDeadline(now, 3_000 - now, false);
+			assertThat(deadline).isGreaterThanOrEqualTo(now);
+			now = deadline;
+			assertThat(this.policy.retryAfter(IntakeRefusal.STORE_SILENT, 3_000 - now)).isZero();
 		}
 		assertThat(now).isBetween(2_700L, 3_000L);
 	}
--- a/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/ReclaimChecker.java
@@ -97,7 +97,7 @@
 		assertThat(reservation.memberWorkers()).hasSize(reservation.shape.members());
 		WorkerInfo first = reservation.memberWorkers().get(0).info;
 		for (WorkerNode worker : reservation.memberWorkers()) {
-			assertThat(reservation.shape.adjacency().joins(first, worker.info)).isTrue();
+			assertThat(reservation.shape.adjacency().isSatisfiedBy(first, worker.info)).isTrue();
 			assertThat(this.fleet.configuration.zone(worker.info.zone()).acceptsWork()).isTrue();
 			assertThat(this.fleet.lostWorkers).doesNotContain(worker.info.id());
 			claimed.merge(worker.info.id(), reservation.shape.perMember(), Resources::plus);
--- a/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
+++ b/core/src/test/java/org/almondmount/jobs/impl/VirtualFleet.java
@@ -205,7 +205,8 @@
 
 	private void execute(JobCommand command) {
 		if (command instanceof JobCommand.Refuse refuse) {
-			this.refusals.put(refuse.job(), new Refused(refuse.refusal().reason().word(), refuse.refusal().detail()));
+			this.refusals.put(refuse.job(),
+					new Refused(refuse.refusal().reason().externalName(), refuse.refusal().detail()));
 		}
 		else if (command instanceof JobCommand.Finish finish) {
 			this.endings.put(finish.job(), finish.outcome());
--- a/core/src/test/java/org/almondmount/membership/EntryDirectoryTests.java
+++ b/core/src/test/java/org/almondmount/membership/EntryDirectoryTests.java
@@ -11,44 +11,44 @@
 	private final EntryDirectory directory = new EntryDirectory("10.0.0.1:7000", 60_000);
 
 	@Test
-	void aNamedEntryIsDialledWithGrowingIntervals() {
-		this.directory.named(0, OTHER);
-		assertThat(this.directory.due(0)).containsExactly(OTHER);
-		assertThat(this.directory.due(999)).isEmpty();
-		assertThat(this.directory.due(1_000)).containsExactly(OTHER);
-		assertThat(this.directory.due(2_000)).isEmpty();
-		assertThat(this.directory.due(3_000)).containsExactly(OTHER);
+	void anAnnouncedEntryIsDialledWithGrowingIntervals() {
+		this.directory.addAddress(0, OTHER);
+		assertThat(this.directory.addressesToDial(0)).containsExactly(OTHER);
+		assertThat(this.directory.addressesToDial(999)).isEmpty();
+		assertThat(this.directory.addressesToDial(1_000)).containsExactly(OTHER);
+		assertThat(this.directory.addressesToDial(2_000)).isEmpty();
+		assertThat(this.directory.addressesToDial(3_000)).containsExactly(OTHER);
 	}
 
 	@Test
-	void itsOwnAddressIsNeverDialled() {
-		this.directory.named(0, "10.0.0.1:7000");
-		assertThat(this.directory.due(0)).isEmpty();
+	void theOwnAddressIsNeverDialled() {
+		this.directory.addAddress(0, "10.0.0.1:7000");
+		assertThat(this.directory.addressesToDial(0)).isEmpty();
 	}
 
 	@Test
-	void aConnectedEntryIsNotDialledAndIsPassedOn() {
-		this.directory.connected(0, OTHER);
-		assertThat(this.directory.due(10)).isEmpty();
-		assertThat(this.directory.passOn()).containsExactly("10.0.0.1:7000", OTHER);
+	void aConnectedEntryIsNotDialledAndIsAnnouncedToOthers() {
+		this.directory.onConnected(0, OTHER);
+		assertThat(this.directory.addressesToDial(10)).isEmpty();
+		assertThat(this.directory.addressesToAnnounce()).containsExactly("10.0.0.1:7000", OTHER);
 	}
 
 	// Each of two entries dials the other at the same moment; when one of the two
 	// connections goes, the other still stands.
 	@Test
-	void ofTwoConnectionsOneIsEnough() {
-		this.directory.connected(0, OTHER);
-		this.directory.connected(1, OTHER);
-		this.directory.disconnected(2, OTHER);
-		assertThat(this.directory.due(5_000)).isEmpty();
+	void anEntryWithOneOfTwoConnectionsLeftIsNotDialled() {
+		this.directory.onConnected(0, OTHER);
+		this.directory.onConnected(1, OTHER);
+		this.directory.onDisconnected(2, OTHER);
+		assertThat(this.directory.addressesToDial(5_000)).isEmpty();
 	}
 
 	// A killed entry leaves its row behind; its address would be dialled for good.
 	@Test
-	void anEntryThatDoesNotAnswerIsForgotten() {
-		this.directory.named(0, OTHER);
-		assertThat(this.directory.due(60_001)).isEmpty();
-		assertThat(this.directory.due(70_000)).isEmpty();
+	void anUnresponsiveEntryIsRemoved() {
+		this.directory.addAddress(0, OTHER);
+		assertThat(this.directory.addressesToDial(60_001)).isEmpty();
+		assertThat(this.directory.addressesToDial(70_000)).isEmpty();
 	}
 
 }
--- a/core/src/test/java/org/almondmount/requests/RequestEndingsProperties.java
+++ b/core/src/test/java/org/almondmount/requests/RequestOutcomeProperties.java
@@ -35,29 +35,29 @@
  * messages and loses connections. The instances count starts by themselves and know
  * nothing of attempts, tombstones or loans.
  */
-class RequestEndingsProperties {
+class RequestOutcomeProperties {
 
 	private static final int TRIES = 400;
 
-	private static final int STEPS = 1_500;
+	private static final int STEP_COUNT = 1_500;
 
-	private static final int SLOTS = 3;
+	private static final int SLOT_COUNT = 3;
 
 	// Caller: hears one ending at most; after "not run" its request never starts; without
 	// leave to repeat it starts once at most. Messages are lost, doubled and delayed by
 	// up to five seconds in any order, and connections break at one end before the other,
 	// because either end may notice first.
 	@Property(tries = TRIES, seed = "20261202")
-	void endingsAreTrueWhateverTheNetworkDoes(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-		World world = new World(seed);
-		for (int step = 0; step < STEPS; step++) {
-			world.step();
+	void outcomesAreAccurateUnderNetworkFaults(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+		Simulation simulation = new Simulation(seed);
+		for (int step = 0; step < STEP_COUNT; step++) {
+			simulation.step();
 		}
-		world.settle();
-		world.check();
+		simulation.runUntilDeadlinesPass();
+		simulation.assertOutcomes();
 	}
 
-	private static final class World {
+	private static final class Simulation {
 
 		private final Random random;
 
@@ -65,11 +65,11 @@
 
 		private final List<Target> targets = new ArrayList<>();
 
-		private final TreeMap<Long, List<Runnable>> later = new TreeMap<>();
+		private final TreeMap<Long, List<Runnable>> scheduled = new TreeMap<>();
 
 		private final Map<RequestId, Integer> starts = new HashMap<>();
 
-		private final Set<RequestId> once = new HashSet<>();
+		private final Set<RequestId> nonIdempotent = new HashSet<>();
 
 		private final Set<RequestId> notRun = new HashSet<>();
 
@@ -77,13 +77,13 @@
 
 		private final Set<RequestId> all = new HashSet<>();
 
-		private final double trouble;
+		private final double faultRate;
 
 		private long now = 1;
 
-		World(long seed) {
+		Simulation(long seed) {
 			this.random = new Random(seed);
-			this.trouble = this.random.nextDouble() * 0.3;
+			this.faultRate = this.random.nextDouble() * 0.3;
 			for (int i = 0; i < 3; i++) {
 				this.targets.add(new Target(i));
 			}
@@ -99,36 +99,36 @@
 			this.now += this.random.nextInt(20);
 			runDue();
 			Entry entry = this.entries.get(this.random.nextInt(2));
-			double dice = this.random.nextDouble();
-			if (dice < 0.3) {
+			double roll = this.random.nextDouble();
+			if (roll < 0.3) {
 				arrive(entry);
 			}
-			else if (dice < 0.3 + this.trouble / 10) {
+			else if (roll < 0.3 + this.faultRate / 10) {
 				breakConnection(entry, this.targets.get(this.random.nextInt(3)));
 			}
 			else {
-				this.entries.forEach((each) -> each.on(new RequestEvent.TimePassed()));
-				this.targets.forEach((each) -> each.on(new SlotEvent.TimePassed()));
+				this.entries.forEach((each) -> each.handle(new RequestEvent.Tick()));
+				this.targets.forEach((each) -> each.handle(new SlotEvent.Tick()));
 			}
 		}
 
-		void settle() {
+		void runUntilDeadlinesPass() {
 			for (int i = 0; i < 400; i++) {
 				this.now += 50;
 				runDue();
-				this.entries.forEach((each) -> each.on(new RequestEvent.TimePassed()));
+				this.entries.forEach((each) -> each.handle(new RequestEvent.Tick()));
 			}
 		}
 
-		void check() {
+		void assertOutcomes() {
 			for (Map.Entry<RequestId, Integer> start : this.starts.entrySet()) {
-				if (this.once.contains(start.getKey())) {
+				if (this.nonIdempotent.contains(start.getKey())) {
 					assertThat(start.getValue()).as("starts of %s", start.getKey()).isOne();
 				}
 				assertThat(this.notRun).doesNotContain(start.getKey());
 			}
 			assertThat(this.ended).isEqualTo(this.all);
-			this.entries.forEach((entry) -> assertThat(entry.router.outstanding()).isZero());
+			this.entries.forEach((entry) -> assertThat(entry.router.outstandingCount()).isZero());
 		}
 
 		private void arrive(Entry entry) {
@@ -136,9 +136,9 @@
 			this.all.add(request);
 			boolean idempotent = this.random.nextInt(3) == 0;
 			if (!idempotent) {
-				this.once.add(request);
+				this.nonIdempotent.add(request);
 			}
-			entry.on(new RequestEvent.Arrived(request, new CustomerId("c" + this.random.nextInt(2)), idempotent,
+			entry.handle(new RequestEvent.Arrived(request, new CustomerId("c" + this.random.nextInt(2)), idempotent,
 					Optional.empty(), this.now + 200 + this.random.nextInt(3_000)));
 		}
 
@@ -146,36 +146,36 @@
 		// what the old one still brings to the target is passed on, what it brings to the
 		// entry is not.
 		private void breakConnection(Entry entry, Target target) {
-			entry.connection.merge(target.id, 1, Integer::sum);
-			entry.on(new RequestEvent.TargetLost(target.id));
-			in(this.random.nextInt(500), () -> target.on(new SlotEvent.EntryLost(entry.id)));
-			in(500 + this.random.nextInt(500), () -> connect(entry, target));
+			entry.connectionNumbers.merge(target.id, 1, Integer::sum);
+			entry.handle(new RequestEvent.TargetLost(target.id));
+			schedule(this.random.nextInt(500), () -> target.handle(new SlotEvent.EntryLost(entry.id)));
+			schedule(500 + this.random.nextInt(500), () -> connect(entry, target));
 		}
 
 		private void connect(Entry entry, Target target) {
-			entry.on(new RequestEvent.TargetJoined(target.id, target.zone, 0));
-			target.loans.remove(entry.id);
-			target.on(new SlotEvent.EntryJoined(entry.id));
+			entry.handle(new RequestEvent.TargetJoined(target.id, target.zone, 0));
+			target.loanCounts.remove(entry.id);
+			target.handle(new SlotEvent.EntryJoined(entry.id));
 		}
 
-		private void network(Runnable delivery) {
-			if (this.random.nextDouble() < this.trouble / 3) {
+		private void transmit(Runnable delivery) {
+			if (this.random.nextDouble() < this.faultRate / 3) {
 				return;
 			}
-			int copies = (this.random.nextDouble() < this.trouble) ? 2 : 1;
+			int copies = (this.random.nextDouble() < this.faultRate) ? 2 : 1;
 			for (int i = 0; i < copies; i++) {
-				boolean late = this.random.nextDouble() < this.trouble;
-				in(this.random.nextInt(late ? 5_000 : 5), delivery);
+				boolean late = this.random.nextDouble() < this.faultRate;
+				schedule(this.random.nextInt(late ? 5_000 : 5), delivery);
 			}
 		}
 
-		private void in(long millis, Runnable action) {
-			this.later.computeIfAbsent(this.now + millis, (at) -> new ArrayList<>()).add(action);
+		private void schedule(long millis, Runnable action) {
+			this.scheduled.computeIfAbsent(this.now + millis, (at) -> new ArrayList<>()).add(action);
 		}
 
 		private void runDue() {
-			while (!this.later.isEmpty() && this.later.firstKey() <= this.now) {
-				this.later.pollFirstEntry().getValue().forEach(Runnable::run);
+			while (!this.scheduled.isEmpty() && this.scheduled.firstKey() <= this.now) {
+				this.scheduled.pollFirstEntry().getValue().forEach(Runnable::run);
 			}
 		}
 
@@ -193,53 +193,53 @@
 
 			private final RequestRouter router;
 
-			private final Map<TargetId, Integer> connection = new HashMap<>();
+			private final Map<TargetId, Integer> connectionNumbers = new HashMap<>();
 
 			Entry(int number) {
 				this.id = new EntryId("e" + number);
-				this.router = RequestRouterFactory.create(RequestPolicy.DEFAULT, World.this.random);
-				on(new RequestEvent.ConfigurationChanged(Configuration.EMPTY.withRevision(1)
+				this.router = RequestRouterFactory.create(RequestPolicy.DEFAULT, Simulation.this.random);
+				handle(new RequestEvent.ConfigurationChanged(Configuration.EMPTY.withRevision(1)
 					.withCustomer(new Customer(new CustomerId("c0"), 1, List.of()))
 					.withCustomer(new Customer(new CustomerId("c1"), 3, List.of()))));
 			}
 
-			void on(RequestEvent event) {
-				this.router.handle(World.this.now, event).forEach(this::carryOut);
+			void handle(RequestEvent event) {
+				this.router.handle(Simulation.this.now, event).forEach(this::execute);
 			}
 
-			private void hear(TargetId from, int overConnection, RequestEvent event) {
-				if (this.connection.getOrDefault(from, 0) == overConnection) {
-					on(event);
+			private void receive(TargetId from, int connectionNumber, RequestEvent event) {
+				if (this.connectionNumbers.getOrDefault(from, 0) == connectionNumber) {
+					handle(event);
 				}
 			}
 
-			private void carryOut(RequestCommand command) {
+			private void execute(RequestCommand command) {
 				if (command instanceof RequestCommand.Send send) {
-					if (World.this.random.nextDouble() < World.this.trouble / 10) {
-						on(new RequestEvent.NotSent(send.request(), send.attempt(), send.target()));
+					if (Simulation.this.random.nextDouble() < Simulation.this.faultRate / 10) {
+						handle(new RequestEvent.NotSent(send.request(), send.attempt(), send.target()));
 						return;
 					}
 					Target target = target(send.target());
-					int over = this.connection.getOrDefault(target.id, 0);
-					network(() -> target.call(this, over, send));
+					int connectionNumber = this.connectionNumbers.getOrDefault(target.id, 0);
+					transmit(() -> target.call(this, connectionNumber, send));
 				}
 				else if (command instanceof RequestCommand.CancelAttempt cancel) {
-					network(() -> target(cancel.target())
-						.on(new SlotEvent.CallCancelled(this.id, cancel.request(), cancel.attempt())));
+					transmit(() -> target(cancel.target())
+						.handle(new SlotEvent.CallCancelled(this.id, cancel.request(), cancel.attempt())));
 				}
 				else if (command instanceof RequestCommand.Deliver deliver) {
 					end(deliver.request());
 				}
 				else if (command instanceof RequestCommand.Refuse refuse) {
 					end(refuse.request());
-					if (refuse.refusal().ran() == RunState.NOT_RUN) {
-						World.this.notRun.add(refuse.request());
+					if (refuse.refusal().runState() == RunState.NOT_RUN) {
+						Simulation.this.notRun.add(refuse.request());
 					}
 				}
 			}
 
 			private void end(RequestId request) {
-				assertThat(World.this.ended.add(request)).as("first ending of %s", request).isTrue();
+				assertThat(Simulation.this.ended.add(request)).as("first ending of %s", request).isTrue();
 			}
 
 		}
@@ -250,70 +250,71 @@
 
 			private final ZoneId zone;
 
-			private final SlotGate gate = SlotGateFactory.create(SlotPolicy.DEFAULT.withSlots(SLOTS));
+			private final SlotGate gate = SlotGateFactory.create(SlotPolicy.DEFAULT.withSlots(SLOT_COUNT));
 
-			private final Map<String, Integer> over = new HashMap<>();
+			private final Map<String, Integer> connectionByAttempt = new HashMap<>();
 
-			private final Map<EntryId, Integer> loans = new HashMap<>();
+			private final Map<EntryId, Integer> loanCounts = new HashMap<>();
 
-			private int working;
+			private int runningCount;
 
 			Target(int number) {
 				this.id = new TargetId("t" + number);
 				this.zone = new ZoneId("z" + number % 2);
 			}
 
-			void call(Entry entry, int overConnection, RequestCommand.Send send) {
-				this.over.put(entry.id + "/" + send.request() + "/" + send.attempt(), overConnection);
-				on(new SlotEvent.CallReceived(entry.id, send.request(), send.attempt(), send.deadlineMillis()));
+			void call(Entry entry, int connectionNumber, RequestCommand.Send send) {
+				this.connectionByAttempt.put(entry.id + "/" + send.request() + "/" + send.attempt(), connectionNumber);
+				handle(new SlotEvent.CallReceived(entry.id, send.request(), send.attempt(), send.deadlineMillis()));
 			}
 
-			void on(SlotEvent event) {
-				this.gate.handle(World.this.now, event).forEach(this::carryOut);
+			void handle(SlotEvent event) {
+				this.gate.handle(Simulation.this.now, event).forEach(this::execute);
 			}
 
-			private void carryOut(SlotCommand command) {
+			private void execute(SlotCommand command) {
 				if (command instanceof SlotCommand.Run run) {
-					instance(run);
+					runOnInstance(run);
 				}
 				else if (command instanceof SlotCommand.LendSlots lend) {
-					network(() -> entry(lend.entry()).on(new RequestEvent.TargetSlots(this.id, lend.slots())));
-					int loans = this.loans.merge(lend.entry(), 1, Integer::sum);
-					in(20, () -> on(new SlotEvent.LoanSeen(lend.entry(), loans)));
+					transmit(() -> entry(lend.entry())
+						.handle(new RequestEvent.TargetSlotsChanged(this.id, lend.slots())));
+					int loanCount = this.loanCounts.merge(lend.entry(), 1, Integer::sum);
+					schedule(20, () -> handle(new SlotEvent.LoanConfirmed(lend.entry(), loanCount)));
 				}
 				else if (command instanceof SlotCommand.Answer answer) {
-					tell(answer.entry(), answer.request(), answer.attempt(),
+					reply(answer.entry(), answer.request(), answer.attempt(),
 							new RequestEvent.Answered(answer.request(), answer.attempt(), this.id, AnswerKind.HEALTHY));
 				}
 				else if (command instanceof SlotCommand.RefuseNotStarted refuse) {
-					tell(refuse.entry(), refuse.request(), refuse.attempt(),
-							new RequestEvent.NotStarted(refuse.request(), refuse.attempt(), this.id, refuse.why()));
+					reply(refuse.entry(), refuse.request(), refuse.attempt(),
+							new RequestEvent.NotStarted(refuse.request(), refuse.attempt(), this.id, refuse.reason()));
 				}
 				else if (command instanceof SlotCommand.AnswerBroken broken) {
-					tell(broken.entry(), broken.request(), broken.attempt(),
-							new RequestEvent.Broken(broken.request(), broken.attempt(), this.id, broken.why()));
+					reply(broken.entry(), broken.request(), broken.attempt(),
+							new RequestEvent.Broken(broken.request(), broken.attempt(), this.id, broken.reason()));
 				}
 			}
 
-			private void tell(EntryId entry, RequestId request, int attempt, RequestEvent event) {
-				int overConnection = this.over.get(entry + "/" + request + "/" + attempt);
-				network(() -> entry(entry).hear(this.id, overConnection, event));
+			private void reply(EntryId entry, RequestId request, int attempt, RequestEvent event) {
+				int connectionNumber = this.connectionByAttempt.get(entry + "/" + request + "/" + attempt);
+				transmit(() -> entry(entry).receive(this.id, connectionNumber, event));
 			}
 
 			// The instance: counts starts and what it works on.
-			private void instance(SlotCommand.Run run) {
-				boolean refusesConnection = World.this.random.nextDouble() < World.this.trouble / 5;
+			private void runOnInstance(SlotCommand.Run run) {
+				boolean refusesConnection = Simulation.this.random.nextDouble() < Simulation.this.faultRate / 5;
 				if (refusesConnection) {
-					in(1, () -> on(new SlotEvent.CallBroken(run.request(), run.attempt(), false, "refused")));
+					schedule(1, () -> handle(new SlotEvent.CallBroken(run.request(), run.attempt(), false, "refused")));
 					return;
 				}
-				World.this.starts.merge(run.request(), 1, Integer::sum);
-				this.working++;
-				assertThat(this.working).isLessThanOrEqualTo(SLOTS);
-				boolean breaks = World.this.random.nextDouble() < World.this.trouble / 5;
-				in(1 + World.this.random.nextInt(60), () -> {
-					this.working--;
-					on(breaks ? new SlotEvent.CallBroken(run.request(), run.attempt(), true, "cut")
+				Simulation.this.starts.merge(run.request(), 1, Integer::sum);
+				this.runningCount++;
+				assertThat(this.runningCount).isLessThanOrEqualTo(SLOT_COUNT);
+				boolean breaks = Simulation.this.random.nextDouble() < Simulation.this.faultRate / 5;
+				schedule(1 + Simulation.this.random.nextInt(60), () -> {
+					this.runningCount--;
+					handle(breaks ? new SlotEvent.CallBroken(run.request(), run.attempt(), true, "cut")
 							: new SlotEvent.CallEnded(run.request(), run.attempt()));
 				});
 			}
--- a/core/src/test/java/org/almondmount/requests/RequestRouterTests.java
+++ b/core/src/test/java/org/almondmount/requests/RequestRouterTests.java
@@ -16,7 +16,7 @@
 import org.almondmount.model.ZoneId;
 import org.almondmount.model.ZoneState;
 import org.almondmount.requests.RequestEvent.AnswerKind;
-import org.almondmount.requests.RequestEvent.KeyDecision;
+import org.almondmount.requests.RequestEvent.KeyClaimOutcome;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -50,14 +50,14 @@
 	private long now;
 
 	@BeforeEach
-	void begin() {
-		begin(this.policy);
+	void createRouter() {
+		createRouter(this.policy);
 	}
 
 	@Test
 	void nothingIsServedWithoutAConfiguration() {
 		this.router = RequestRouterFactory.create(this.policy, new Random(1));
-		on(new RequestEvent.TargetJoined(T1, NEAR, 8));
+		handle(new RequestEvent.TargetJoined(T1, NEAR, 8));
 		arrive("r", ANNA, false);
 		assertRefused("r", RefusalReason.NO_CONFIGURATION, RunState.NOT_RUN);
 	}
@@ -67,20 +67,20 @@
 		join(T1, NEAR, 1);
 		arrive("r", ANNA, false);
 		assertThat(sends()).containsExactly(T1);
-		on(answered("r", 1, T1));
+		handle(answered("r", 1, T1));
 		assertThat(this.commands).contains(new RequestCommand.Deliver(new RequestId("r"), 1));
-		assertThat(this.router.outstanding()).isZero();
+		assertThat(this.router.outstandingCount()).isZero();
 	}
 
 	@Test
-	void noMoreIsSentThanTheTargetLends() {
+	void sendsAtMostAsManyRequestsAsSlotsAreLent() {
 		join(T1, NEAR, 2);
 		for (int i = 0; i < 5; i++) {
 			arrive("r" + i, ANNA, false);
 		}
-		on(new RequestEvent.TimePassed());
-		assertThat(this.router.outstanding()).isEqualTo(5);
-		on(new RequestEvent.TargetSlots(T1, 3));
+		handle(new RequestEvent.Tick());
+		assertThat(this.router.outstandingCount()).isEqualTo(5);
+		handle(new RequestEvent.TargetSlotsChanged(T1, 3));
 		assertThat(sends()).hasSize(1);
 	}
 
@@ -89,14 +89,14 @@
 	// moment; the second leaves and did not start a request. Its caller would hear that
 	// it has not run, though a target that could run it is connected.
 	@Test
-	void aRequestThatALeavingTargetDidNotStartWaitsForOneThatHasJustJoined() {
+	void aRequestNotStartedByADrainingTargetWaitsForATargetThatHasJustJoined() {
 		join(T2, NEAR, 8);
 		arrive("r", ANNA, false);
-		on(new RequestEvent.TargetJoined(T1, NEAR, 0));
-		on(new RequestEvent.TargetLeaving(T2));
-		on(new RequestEvent.NotStarted(new RequestId("r"), 1, T2, "leaving"));
-		assertThat(this.router.outstanding()).isEqualTo(1);
-		on(new RequestEvent.TargetSlots(T1, 4));
+		handle(new RequestEvent.TargetJoined(T1, NEAR, 0));
+		handle(new RequestEvent.TargetDraining(T2));
+		handle(new RequestEvent.NotStarted(new RequestId("r"), 1, T2, "leaving"));
+		assertThat(this.router.outstandingCount()).isEqualTo(1);
+		handle(new RequestEvent.TargetSlotsChanged(T1, 4));
 		assertThat(sends()).containsExactly(T1);
 	}
 
@@ -104,12 +104,12 @@
 	void aRequestDoesNotWaitLongForATargetThatLendsNothing() {
 		join(T2, NEAR, 8);
 		arrive("r", ANNA, false);
-		on(new RequestEvent.TargetJoined(T1, NEAR, 0));
-		on(new RequestEvent.TargetLeaving(T2));
-		on(new RequestEvent.NotStarted(new RequestId("r"), 1, T2, "leaving"));
-		this.now += this.policy.noTargetWait().toMillis() + 1;
-		on(new RequestEvent.TimePassed());
-		assertThat(this.router.outstanding()).isZero();
+		handle(new RequestEvent.TargetJoined(T1, NEAR, 0));
+		handle(new RequestEvent.TargetDraining(T2));
+		handle(new RequestEvent.NotStarted(new RequestId("r"), 1, T2, "leaving"));
+		this.now += this.policy.noTargetTimeout().toMillis() + 1;
+		handle(new RequestEvent.Tick());
+		assertThat(this.router.outstandingCount()).isZero();
 	}
 
 	@Test
@@ -121,20 +121,20 @@
 	}
 
 	@Test
-	void aTargetInAZoneThatIsOutGetsNothing() {
-		on(new RequestEvent.ConfigurationChanged(CONFIGURATION.withRevision(2).withZone(NEAR, ZoneState.OUT)));
+	void aTargetInAZoneOutOfServiceReceivesNoRequest() {
+		handle(new RequestEvent.ConfigurationChanged(CONFIGURATION.withRevision(2).withZone(NEAR, ZoneState.OUT)));
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false);
 		assertThat(sends()).isEmpty();
 		this.now += 1_000;
-		on(new RequestEvent.TimePassed());
+		handle(new RequestEvent.Tick());
 		assertRefused("r", RefusalReason.ZONE_OUT, RunState.NOT_RUN);
 	}
 
 	@Test
-	void anOlderConfigurationDoesNotComeBack() {
-		on(new RequestEvent.ConfigurationChanged(CONFIGURATION.withRevision(3).withZone(NEAR, ZoneState.OUT)));
-		on(new RequestEvent.ConfigurationChanged(CONFIGURATION.withRevision(2)));
+	void anOlderConfigurationDoesNotReplaceANewerOne() {
+		handle(new RequestEvent.ConfigurationChanged(CONFIGURATION.withRevision(3).withZone(NEAR, ZoneState.OUT)));
+		handle(new RequestEvent.ConfigurationChanged(CONFIGURATION.withRevision(2)));
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false);
 		assertThat(sends()).isEmpty();
@@ -148,7 +148,7 @@
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("r", ANNA, false);
-		on(new RequestEvent.TargetLost(T1));
+		handle(new RequestEvent.TargetLost(T1));
 		assertRefused("r", RefusalReason.TARGET_LOST, RunState.MAY_HAVE_RUN);
 		assertThat(sends()).isEmpty();
 	}
@@ -158,7 +158,7 @@
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("r", ANNA, true);
-		on(new RequestEvent.TargetLost(T1));
+		handle(new RequestEvent.TargetLost(T1));
 		assertThat(sends()).containsExactly(T2);
 		assertThat(this.commands).contains(new RequestCommand.CountRetry(RetryReason.TARGET_LOST));
 	}
@@ -168,19 +168,19 @@
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("r", ANNA, false);
-		on(new RequestEvent.NotStarted(new RequestId("r"), 1, T1, "busy"));
+		handle(new RequestEvent.NotStarted(new RequestId("r"), 1, T1, "busy"));
 		assertThat(sends()).containsExactly(T2);
-		on(new RequestEvent.NotStarted(new RequestId("r"), 2, T2, "busy"));
+		handle(new RequestEvent.NotStarted(new RequestId("r"), 2, T2, "busy"));
 		assertRefused("r", RefusalReason.TARGETS_BUSY, RunState.NOT_RUN);
 	}
 
 	@Test
-	void aRefusalAfterALostAttemptSaysThatItMayHaveRunThoughTheLastOneDidNotStart() {
+	void aRefusalAfterALostAttemptReportsMayHaveRunEvenIfTheLastAttemptDidNotStart() {
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("r", ANNA, true);
-		on(new RequestEvent.TargetLost(T1));
-		on(new RequestEvent.NotStarted(new RequestId("r"), 2, T2, "busy"));
+		handle(new RequestEvent.TargetLost(T1));
+		handle(new RequestEvent.NotStarted(new RequestId("r"), 2, T2, "busy"));
 		assertRefused("r", RefusalReason.TARGETS_BUSY, RunState.MAY_HAVE_RUN);
 	}
 
@@ -189,11 +189,11 @@
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("r", ANNA, true);
-		on(new RequestEvent.TargetLost(T1));
-		on(answered("r", 1, T1));
+		handle(new RequestEvent.TargetLost(T1));
+		handle(answered("r", 1, T1));
 		assertThat(this.commands).noneMatch(RequestCommand.Deliver.class::isInstance);
-		on(answered("r", 2, T2));
-		on(answered("r", 2, T2));
+		handle(answered("r", 2, T2));
+		handle(answered("r", 2, T2));
 		assertThat(this.commands).noneMatch(RequestCommand.Deliver.class::isInstance);
 	}
 
@@ -204,7 +204,7 @@
 		arrive("second", ANNA, false, Optional.empty(), 500);
 		assertThat(this.commands).contains(new RequestCommand.WakeAt(500));
 		this.now = 500;
-		on(new RequestEvent.TimePassed());
+		handle(new RequestEvent.Tick());
 		assertRefused("second", RefusalReason.DEADLINE, RunState.NOT_RUN);
 	}
 
@@ -213,12 +213,12 @@
 		join(T1, NEAR, 1);
 		arrive("r", ANNA, false, Optional.empty(), 500);
 		this.now = 500;
-		on(new RequestEvent.TimePassed());
+		handle(new RequestEvent.Tick());
 		assertRefused("r", RefusalReason.DEADLINE, RunState.MAY_HAVE_RUN);
 		assertThat(this.commands).contains(new RequestCommand.CancelAttempt(new RequestId("r"), 1, T1));
 		arrive("next", ANNA, false);
 		assertThat(sends()).isEmpty();
-		on(answered("r", 1, T1));
+		handle(answered("r", 1, T1));
 		assertThat(sends()).containsExactly(T1);
 	}
 
@@ -228,7 +228,7 @@
 		arrive("r", ANNA, false, Optional.of("k"), 30_000);
 		assertThat(sends()).isEmpty();
 		assertThat(this.commands).contains(new RequestCommand.ClaimKey(new RequestId("r")));
-		on(new RequestEvent.KeyDecided(new RequestId("r"), KeyDecision.CLAIMED));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId("r"), KeyClaimOutcome.CLAIMED));
 		assertThat(sends()).containsExactly(T1);
 	}
 
@@ -237,37 +237,37 @@
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false, Optional.of("k"), 500);
 		this.now = 501;
-		on(new RequestEvent.TimePassed());
+		handle(new RequestEvent.Tick());
 		assertRefused("r", RefusalReason.DEADLINE, RunState.NOT_RUN);
-		on(new RequestEvent.KeyDecided(new RequestId("r"), KeyDecision.CLAIMED));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId("r"), KeyClaimOutcome.CLAIMED));
 		assertThat(this.commands).contains(new RequestCommand.ReleaseKey(new RequestId("r")));
 		assertThat(sends()).isEmpty();
 	}
 
 	@Test
-	void theKeyOfARequestThatMayHaveRunIsKept() {
+	void theKeyOfARequestThatMayHaveRunIsNotReleased() {
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false, Optional.of("k"), 30_000);
-		on(new RequestEvent.KeyDecided(new RequestId("r"), KeyDecision.CLAIMED));
-		on(new RequestEvent.TargetLost(T1));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId("r"), KeyClaimOutcome.CLAIMED));
+		handle(new RequestEvent.TargetLost(T1));
 		assertRefused("r", RefusalReason.TARGET_LOST, RunState.MAY_HAVE_RUN);
 		assertThat(this.commands).noneMatch(RequestCommand.ReleaseKey.class::isInstance);
 	}
 
 	@Test
-	void everyOtherDecisionAboutAKeyEndsTheRequestWithoutSendingIt() {
+	void everyOtherKeyClaimOutcomeRefusesTheRequestWithoutSendingIt() {
 		join(T1, NEAR, 8);
-		assertKeyRefusal(KeyDecision.HELD_BY_OTHER, RefusalReason.KEY_IN_USE, RunState.MAY_HAVE_RUN);
-		assertKeyRefusal(KeyDecision.DIFFERENT_CONTENT, RefusalReason.KEY_REUSED, RunState.NOT_RUN);
+		assertKeyRefusal(KeyClaimOutcome.HELD_BY_OTHER, RefusalReason.KEY_IN_USE, RunState.MAY_HAVE_RUN);
+		assertKeyRefusal(KeyClaimOutcome.DIFFERENT_CONTENT, RefusalReason.KEY_REUSED, RunState.NOT_RUN);
 		assertThat(refusals()).filteredOn((refuse) -> refuse.refusal().reason() == RefusalReason.KEY_REUSED)
 			.allSatisfy((refuse) -> assertThat(refuse.refusal().retryAfter()).isZero());
-		assertKeyRefusal(KeyDecision.STORE_AWAY, RefusalReason.STORE_AWAY, RunState.NOT_RUN);
-		assertKeyRefusal(KeyDecision.UNKNOWN, RefusalReason.STORE_UNKNOWN, RunState.NOT_RUN);
+		assertKeyRefusal(KeyClaimOutcome.STORE_AWAY, RefusalReason.STORE_AWAY, RunState.NOT_RUN);
+		assertKeyRefusal(KeyClaimOutcome.UNKNOWN, RefusalReason.STORE_UNKNOWN, RunState.NOT_RUN);
 	}
 
 	@Test
-	void aCustomerThatFillsItsPlacesDoesNotTakeThoseOfOthers() {
-		begin(this.policy.withQueueLimit(20).withLeastQueuePerCustomer(1));
+	void aCustomerAtItsQueueLimitDoesNotUseTheShareOfOthers() {
+		createRouter(this.policy.withQueueLimit(20).withMinQueuePerCustomer(1));
 		join(T1, NEAR, 1);
 		for (int i = 0; i < 12; i++) {
 			arrive("a" + i, ANNA, false);
@@ -280,8 +280,8 @@
 	// Customers: anna's requests take ten times as long as bea's. Served by turns, anna
 	// would get ten times the slots; served by slot time, both get the same.
 	@Test
-	void slowRequestsAreChargedForTheirTime() {
-		begin(this.policy.withQueueLimit(10_000));
+	void slotsAreSharedBySlotTimeAndNotByRequestCount() {
+		createRouter(this.policy.withQueueLimit(10_000));
 		join(T1, NEAR, 1);
 		arrive("a-first", ANNA, false, Optional.empty(), Long.MAX_VALUE / 4);
 		Optional<RequestCommand.Send> sent = firstSend();
@@ -295,7 +295,7 @@
 			long time = slow ? 100 : 10;
 			served[slow ? 0 : 1] += time;
 			this.now += time;
-			on(answered(sent.orElseThrow().request().value(), 1, T1));
+			handle(answered(sent.orElseThrow().request().value(), 1, T1));
 			sent = firstSend();
 		}
 		assertThat((double) served[0] / served[1]).isBetween(0.9, 1.1);
@@ -303,7 +303,7 @@
 
 	@Test
 	void retriesStayWithinTheirBudget() {
-		begin(this.policy.withRetries(3, 0.2, 2));
+		createRouter(this.policy.withRetries(3, 0.2, 2));
 		for (int i = 0; i < 40; i++) {
 			join(new TargetId("x" + i), FAR, 8);
 		}
@@ -312,7 +312,7 @@
 			arrive("r" + i, ANNA, true);
 			Optional<RequestCommand.Send> sent = firstSend();
 			while (sent.isPresent()) {
-				on(new RequestEvent.Broken(sent.get().request(), sent.get().attempt(), sent.get().target(), "x"));
+				handle(new RequestEvent.Broken(sent.get().request(), sent.get().attempt(), sent.get().target(), "x"));
 				sent = firstSend();
 				retries += sent.isPresent() ? 1 : 0;
 			}
@@ -321,17 +321,17 @@
 	}
 
 	@Test
-	void aTargetThatErrsInARowIsEjectedAndTriedAgainWithOneRequest() {
+	void aTargetWithConsecutiveErrorsIsEjectedAndProbedWithOneRequest() {
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		for (int i = 0; i < 5; i++) {
 			arrive("r" + i, ANNA, false);
-			on(new RequestEvent.Answered(new RequestId("r" + i), 1, T1, AnswerKind.ERROR));
+			handle(new RequestEvent.Answered(new RequestId("r" + i), 1, T1, AnswerKind.ERROR));
 		}
-		assertThat(this.commands).anyMatch(RequestCommand.Explain.class::isInstance);
+		assertThat(this.commands).anyMatch(RequestCommand.LogDecision.class::isInstance);
 		arrive("elsewhere", ANNA, false);
 		assertThat(sends()).containsExactly(T2);
-		on(answered("elsewhere", 1, T2));
+		handle(answered("elsewhere", 1, T2));
 		this.now += 5_000;
 		arrive("trial", ANNA, false);
 		assertThat(sends()).containsExactly(T1);
@@ -347,43 +347,43 @@
 		for (int i = 0; i < 200; i++) {
 			arrive("r" + i, ANNA, false);
 			Optional<RequestCommand.Send> sent = firstSend();
-			on(new RequestEvent.Answered(new RequestId("r" + i), 1, sent.orElseThrow().target(), AnswerKind.ERROR));
+			handle(new RequestEvent.Answered(new RequestId("r" + i), 1, sent.orElseThrow().target(), AnswerKind.ERROR));
 		}
 		arrive("last", ANNA, false);
 		assertThat(sends()).hasSize(1);
 	}
 
 	@Test
-	void aLeavingTargetGetsNothingNewAndItsAnswersStillCount() {
+	void aDrainingTargetReceivesNoNewRequestAndItsAnswersAreDelivered() {
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false);
-		on(new RequestEvent.TargetLeaving(T1));
+		handle(new RequestEvent.TargetDraining(T1));
 		arrive("next", ANNA, false);
 		assertThat(sends()).isEmpty();
-		on(answered("r", 1, T1));
+		handle(answered("r", 1, T1));
 		assertThat(this.commands).contains(new RequestCommand.Deliver(new RequestId("r"), 1));
 	}
 
 	@Test
-	void drainingRefusesWhatArrivesAndFinishesWhatIsThere() {
+	void drainingRefusesNewRequestsAndFinishesAcceptedOnes() {
 		join(T1, NEAR, 1);
 		arrive("sent", ANNA, false);
 		arrive("waiting", ANNA, false);
-		on(new RequestEvent.Draining());
+		handle(new RequestEvent.Draining());
 		arrive("late", ANNA, false);
 		assertRefused("late", RefusalReason.DRAINING, RunState.NOT_RUN);
-		on(answered("sent", 1, T1));
+		handle(answered("sent", 1, T1));
 		assertThat(sends()).containsExactly(T1);
 	}
 
 	@Test
-	void theAttemptOfACallerThatIsGoneIsCancelled() {
+	void theAttemptIsCancelledWhenItsCallerDisconnects() {
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false);
-		on(new RequestEvent.CallerGone(new RequestId("r")));
+		handle(new RequestEvent.CallerGone(new RequestId("r")));
 		assertThat(this.commands).contains(new RequestCommand.CancelAttempt(new RequestId("r"), 1, T1));
 		assertRefused("r", RefusalReason.CALLER_GONE, RunState.MAY_HAVE_RUN);
-		assertThat(this.router.outstanding()).isZero();
+		assertThat(this.router.outstandingCount()).isZero();
 	}
 
 	// Caller: has used the key before, and that request is still running. Releasing the
@@ -392,98 +392,98 @@
 	void theKeyOfAnotherRequestIsNotReleased() {
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false, Optional.of("k"), 30_000);
-		on(new RequestEvent.KeyDecided(new RequestId("r"), KeyDecision.HELD_BY_OTHER));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId("r"), KeyClaimOutcome.HELD_BY_OTHER));
 		assertThat(this.commands).noneMatch(RequestCommand.ReleaseKey.class::isInstance);
 	}
 
 	@Test
-	void aCallerThatIsGoneBeforeItsKeyedRequestWasSentReleasesTheKey() {
+	void theKeyIsReleasedWhenTheCallerDisconnectsBeforeTheRequestIsSent() {
 		arrive("r", ANNA, false, Optional.of("k"), 30_000);
-		on(new RequestEvent.KeyDecided(new RequestId("r"), KeyDecision.CLAIMED));
-		on(new RequestEvent.CallerGone(new RequestId("r")));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId("r"), KeyClaimOutcome.CLAIMED));
+		handle(new RequestEvent.CallerGone(new RequestId("r")));
 		assertThat(this.commands).contains(new RequestCommand.ReleaseKey(new RequestId("r")));
 		assertRefused("r", RefusalReason.CALLER_GONE, RunState.NOT_RUN);
 	}
 
 	@Test
-	void theAnswerOfASentKeyedRequestIsStillWantedWhenItsCallerIsGone() {
+	void theAnswerOfASentKeyedRequestIsDeliveredAfterItsCallerDisconnects() {
 		join(T1, NEAR, 8);
 		arrive("r", ANNA, false, Optional.of("k"), 30_000);
-		on(new RequestEvent.KeyDecided(new RequestId("r"), KeyDecision.CLAIMED));
-		on(new RequestEvent.CallerGone(new RequestId("r")));
-		on(answered("r", 1, T1));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId("r"), KeyClaimOutcome.CLAIMED));
+		handle(new RequestEvent.CallerGone(new RequestId("r")));
+		handle(answered("r", 1, T1));
 		assertThat(this.commands).contains(new RequestCommand.Deliver(new RequestId("r"), 1));
 	}
 
 	@Test
-	void onlySlowIdempotentRequestsAreTriedTwiceAtOnceAndOnlyIfThatIsOn() {
-		begin(this.policy.withHedgeAfter(Duration.ofMillis(100)));
+	void onlySlowIdempotentRequestsAreHedgedIfHedgingIsEnabled() {
+		createRouter(this.policy.withHedgeAfter(Duration.ofMillis(100)));
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("once", ANNA, false);
 		arrive("r", ANNA, true);
 		this.now = 100;
-		on(new RequestEvent.TimePassed());
+		handle(new RequestEvent.Tick());
 		assertThat(sends()).containsExactly(T2);
-		on(answered("r", 2, T2));
+		handle(answered("r", 2, T2));
 		assertThat(this.commands).contains(new RequestCommand.Deliver(new RequestId("r"), 2),
 				new RequestCommand.CancelAttempt(new RequestId("r"), 1, T1));
 	}
 
 	@Test
-	void aTargetThatAnswersNothingIsEjected() {
+	void anUnresponsiveTargetIsEjected() {
 		join(T1, NEAR, 8);
 		join(T2, FAR, 8);
 		arrive("measured", ANNA, false);
 		this.now = 10;
-		on(answered("measured", 1, T1));
+		handle(answered("measured", 1, T1));
 		arrive("stuck", ANNA, false);
 		this.now = 1_100;
-		on(new RequestEvent.TimePassed());
-		assertThat(this.commands).anyMatch(RequestCommand.Explain.class::isInstance);
+		handle(new RequestEvent.Tick());
+		assertThat(this.commands).anyMatch(RequestCommand.LogDecision.class::isInstance);
 		arrive("next", ANNA, false);
 		assertThat(sends()).containsExactly(T2);
 	}
 
 	@Test
-	void aFreshTargetIsEasedIn() {
-		begin(this.policy.withTargets(TargetPolicy.DEFAULT.withSlowStart(Duration.ofSeconds(4), 0.25)));
+	void slowStartLimitsTheSlotsOfANewTarget() {
+		createRouter(this.policy.withTargets(TargetPolicy.DEFAULT.withSlowStart(Duration.ofSeconds(4), 0.25)));
 		join(T1, NEAR, 8);
 		for (int i = 0; i < 8; i++) {
 			arrive("r" + i, ANNA, false);
 		}
 		this.now = 2_000;
-		on(new RequestEvent.TimePassed());
+		handle(new RequestEvent.Tick());
 		assertThat(sends()).hasSize(3);
 	}
 
-	private void assertKeyRefusal(KeyDecision decision, RefusalReason reason, RunState ran) {
-		String id = "key-" + decision;
+	private void assertKeyRefusal(KeyClaimOutcome outcome, RefusalReason reason, RunState ran) {
+		String id = "key-" + outcome;
 		arrive(id, ANNA, false, Optional.of(id), 30_000);
-		on(new RequestEvent.KeyDecided(new RequestId(id), decision));
+		handle(new RequestEvent.KeyClaimEnded(new RequestId(id), outcome));
 		assertRefused(id, reason, ran);
 		assertThat(sends()).isEmpty();
 	}
 
-	private void begin(RequestPolicy chosen) {
+	private void createRouter(RequestPolicy options) {
 		this.now = 0;
-		this.router = RequestRouterFactory.create(chosen, new Random(7));
-		on(new RequestEvent.ConfigurationChanged(CONFIGURATION));
+		this.router = RequestRouterFactory.create(options, new Random(7));
+		handle(new RequestEvent.ConfigurationChanged(CONFIGURATION));
 	}
 
 	private void join(TargetId target, ZoneId zone, int slots) {
-		on(new RequestEvent.TargetJoined(target, zone, slots));
+		handle(new RequestEvent.TargetJoined(target, zone, slots));
 	}
 
 	private void arrive(String id, CustomerId customer, boolean idempotent) {
 		arrive(id, customer, idempotent, Optional.empty(), 30_000);
 	}
 
-	private void arrive(String id, CustomerId customer, boolean idempotent, Optional<String> key, long within) {
-		on(new RequestEvent.Arrived(new RequestId(id), customer, idempotent, key, this.now + within));
+	private void arrive(String id, CustomerId customer, boolean idempotent, Optional<String> key, long timeoutMillis) {
+		handle(new RequestEvent.Arrived(new RequestId(id), customer, idempotent, key, this.now + timeoutMillis));
 	}
 
-	private void on(RequestEvent event) {
+	private void handle(RequestEvent event) {
 		this.commands = this.router.handle(this.now, event);
 	}
 
@@ -519,7 +519,7 @@
 		assertThat(refusals()).anySatisfy((refuse) -> {
 			assertThat(refuse.request()).isEqualTo(new RequestId(id));
 			assertThat(refuse.refusal().reason()).isEqualTo(reason);
-			assertThat(refuse.refusal().ran()).isEqualTo(ran);
+			assertThat(refuse.refusal().runState()).isEqualTo(ran);
 		});
 	}
 
--- a/core/src/test/java/org/almondmount/slots/SlotGateTests.java
+++ b/core/src/test/java/org/almondmount/slots/SlotGateTests.java
@@ -25,7 +25,7 @@
 	private final SlotGate gate = SlotGateFactory.create(SlotPolicy.DEFAULT.withSlots(2));
 
 	@Test
-	void aFirstEntryIsLentAllSlots() {
+	void theFirstEntryIsLentAllSlots() {
 		assertThat(this.gate.handle(0, new SlotEvent.EntryJoined(A))).containsExactly(new SlotCommand.LendSlots(A, 2));
 	}
 
@@ -33,26 +33,27 @@
 	// believe in a slot that there is only once. So B hears of none until A has confirmed
 	// the smaller loan.
 	@Test
-	void aSlotIsLentAnewOnlyWhenItsBorrowerHasConfirmedTheSmallerLoan() {
+	void aSlotIsLentAgainOnlyAfterItsBorrowerConfirmedTheSmallerLoan() {
 		this.gate.handle(0, new SlotEvent.EntryJoined(A));
 		assertThat(this.gate.handle(1, new SlotEvent.EntryJoined(B))).containsExactly(new SlotCommand.LendSlots(A, 1),
 				new SlotCommand.LendSlots(B, 0));
-		assertThat(this.gate.handle(2, new SlotEvent.TimePassed())).isEmpty();
-		assertThat(this.gate.handle(3, new SlotEvent.LoanSeen(A, 2))).containsExactly(new SlotCommand.LendSlots(B, 1));
+		assertThat(this.gate.handle(2, new SlotEvent.Tick())).isEmpty();
+		assertThat(this.gate.handle(3, new SlotEvent.LoanConfirmed(A, 2)))
+			.containsExactly(new SlotCommand.LendSlots(B, 1));
 	}
 
 	@Test
-	void theSlotThatDoesNotDivideEvenlyGoesToAnotherEntryAtAnotherTarget() {
-		assertThat(loansOfTwo(0)).isNotEqualTo(loansOfTwo(1));
+	void theRemainderSlotGoesToADifferentEntryForEachRotation() {
+		assertThat(loansOfTwoEntries(0)).isNotEqualTo(loansOfTwoEntries(1));
 	}
 
 	@Test
-	void aConfirmedLoanThatIsStillInUseIsNotLentAnew() {
+	void aSlotStillInUseIsNotLentAgainAfterConfirmation() {
 		this.gate.handle(0, new SlotEvent.EntryJoined(A));
 		this.gate.handle(1, call(A, ONE));
 		this.gate.handle(1, call(A, TWO));
 		this.gate.handle(2, new SlotEvent.EntryJoined(B));
-		assertThat(this.gate.handle(3, new SlotEvent.LoanSeen(A, 2))).isEmpty();
+		assertThat(this.gate.handle(3, new SlotEvent.LoanConfirmed(A, 2))).isEmpty();
 		assertThat(this.gate.handle(4, new SlotEvent.CallEnded(ONE, 1)))
 			.containsExactly(new SlotCommand.Answer(A, ONE, 1), new SlotCommand.LendSlots(B, 1));
 	}
@@ -61,7 +62,7 @@
 	void theSlotsOfALostEntryAreLentToTheOthers() {
 		this.gate.handle(0, new SlotEvent.EntryJoined(A));
 		this.gate.handle(1, new SlotEvent.EntryJoined(B));
-		this.gate.handle(2, new SlotEvent.LoanSeen(A, 2));
+		this.gate.handle(2, new SlotEvent.LoanConfirmed(A, 2));
 		assertThat(this.gate.handle(3, new SlotEvent.EntryLost(B))).containsExactly(new SlotCommand.LendSlots(A, 2));
 	}
 
@@ -78,7 +79,7 @@
 	// network had kept comes when a slot is free. Running it would make the answer
 	// untrue.
 	@Test
-	void aCopyOfARefusedCallIsRefusedThoughASlotIsFreeByThen() {
+	void aCopyOfARefusedCallIsRefusedEvenIfASlotIsFree() {
 		this.gate.handle(0, call(A, ONE));
 		this.gate.handle(0, call(A, TWO));
 		this.gate.handle(0, call(A, THREE));
@@ -91,7 +92,7 @@
 	// started" about it would have the entry send it to another target, and it would run
 	// twice.
 	@Test
-	void aCopyOfACallThatRanIsDroppedWithoutAWord() {
+	void aCopyOfACallThatRanIsDroppedWithoutAnAnswer() {
 		this.gate.handle(0, call(A, ONE));
 		assertThat(this.gate.handle(1, call(A, ONE))).isEmpty();
 		this.gate.handle(2, new SlotEvent.CallEnded(ONE, 1));
@@ -100,7 +101,7 @@
 	}
 
 	@Test
-	void aCallWhoseCancellationCameFirstIsNotStarted() {
+	void aCallCancelledBeforeItArrivesIsNotStarted() {
 		this.gate.handle(0, new SlotEvent.CallCancelled(A, ONE, 1));
 		assertThat(this.gate.handle(1, call(A, ONE))).singleElement().isInstanceOf(SlotCommand.RefuseNotStarted.class);
 	}
@@ -120,13 +121,13 @@
 	}
 
 	@Test
-	void nothingIsStartedInAZoneThatIsOut() {
-		this.gate.handle(0, new SlotEvent.ZoneHeard(ZoneState.OUT));
+	void noCallIsStartedInAZoneOutOfService() {
+		this.gate.handle(0, new SlotEvent.ZoneStateReceived(ZoneState.OUT));
 		assertThat(this.gate.handle(1, call(A, ONE))).singleElement().isInstanceOf(SlotCommand.RefuseNotStarted.class);
 	}
 
 	@Test
-	void anInstanceThatNeverSawTheCallMakesItNotStarted() {
+	void aCallThatNeverReachedTheInstanceIsReportedAsNotStarted() {
 		this.gate.handle(0, call(A, ONE));
 		assertThat(this.gate.handle(1, new SlotEvent.CallBroken(ONE, 1, false, "refused")))
 			.containsExactly(new SlotCommand.RefuseNotStarted(A, ONE, 1, "refused"));
@@ -134,7 +135,7 @@
 	}
 
 	@Test
-	void aFullMemoryRunsNothingAndPromisesNothing() {
+	void aFullAttemptHistoryStartsNothingAndDoesNotReportNotStarted() {
 		SlotGate small = SlotGateFactory.create(SlotPolicy.DEFAULT.withRemember(Duration.ofSeconds(30), 1));
 		small.handle(0, new SlotEvent.CallCancelled(A, ONE, 1));
 		assertThat(small.handle(1, call(A, TWO))).singleElement().isInstanceOf(SlotCommand.AnswerBroken.class);
@@ -142,19 +143,19 @@
 	}
 
 	@Test
-	void drainingAnnouncesItRefusesNewCallsAndEndsWithTheLastOne() {
+	void drainingIsAnnouncedRefusesNewCallsAndEndsWithTheLastCall() {
 		this.gate.handle(0, call(A, ONE));
-		assertThat(this.gate.handle(1, new SlotEvent.Draining())).containsExactly(new SlotCommand.AnnounceLeaving());
+		assertThat(this.gate.handle(1, new SlotEvent.Draining())).containsExactly(new SlotCommand.AnnounceDraining());
 		assertThat(this.gate.handle(2, call(A, TWO))).singleElement().isInstanceOf(SlotCommand.RefuseNotStarted.class);
 		assertThat(this.gate.handle(3, new SlotEvent.CallEnded(ONE, 1)))
 			.isEqualTo(List.of(new SlotCommand.Answer(A, ONE, 1), new SlotCommand.Drained()));
 	}
 
-	private static List<SlotCommand> loansOfTwo(int rotation) {
+	private static List<SlotCommand> loansOfTwoEntries(int rotation) {
 		SlotGate rotated = SlotGateFactory.create(SlotPolicy.DEFAULT.withSlots(1).withRotation(rotation));
 		rotated.handle(0, new SlotEvent.EntryJoined(A));
 		rotated.handle(0, new SlotEvent.EntryJoined(B));
-		return rotated.handle(1, new SlotEvent.LoanSeen(A, 2));
+		return rotated.handle(1, new SlotEvent.LoanConfirmed(A, 2));
 	}
 
 	private static SlotEvent call(EntryId entry, RequestId request) {
--- a/core/src/test/java/org/almondmount/slots/SlotLoanProperties.java
+++ b/core/src/test/java/org/almondmount/slots/SlotLoanProperties.java
@@ -20,25 +20,25 @@
  */
 class SlotLoanProperties {
 
-	private static final int SLOTS = 8;
+	private static final int SLOT_COUNT = 8;
 
 	// Entries: if two of them believed in the same slot, both would send and one of the
 	// two attempts would be refused. A loan is confirmed by the answer to a heartbeat
 	// that was sent after it on the same connection.
 	@Property(tries = 500, seed = "20261204")
-	void whatEntriesBelieveNeverAddsUpToMoreThanTheSlots(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-		World world = new World(seed);
+	void slotsAssumedByEntriesNeverExceedTheTotal(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+		Simulation simulation = new Simulation(seed);
 		for (int step = 0; step < 800; step++) {
-			world.step();
-			assertThat(world.believed()).isLessThanOrEqualTo(SLOTS);
+			simulation.step();
+			assertThat(simulation.assumedSlots()).isLessThanOrEqualTo(SLOT_COUNT);
 		}
-		world.settle();
-		assertThat(world.believed()).isEqualTo(world.connected() ? SLOTS : 0);
+		simulation.finishCallsAndDeliverMessages();
+		assertThat(simulation.assumedSlots()).isEqualTo(simulation.anyConnected() ? SLOT_COUNT : 0);
 	}
 
-	private static final class World {
+	private static final class Simulation {
 
-		private final SlotGate gate = SlotGateFactory.create(SlotPolicy.DEFAULT.withSlots(SLOTS));
+		private final SlotGate gate = SlotGateFactory.create(SlotPolicy.DEFAULT.withSlots(SLOT_COUNT));
 
 		private final Random random;
 
@@ -50,7 +50,7 @@
 
 		private int calls;
 
-		World(long seed) {
+		Simulation(long seed) {
 			this.random = new Random(seed);
 			for (int i = 0; i < 4; i++) {
 				this.entries.add(new Entry(new EntryId("e" + i)));
@@ -63,18 +63,18 @@
 			switch (this.random.nextInt(8)) {
 				case 0 -> toggle(entry);
 				case 1, 2, 3 -> entry.readNext();
-				case 4 -> entry.beat();
+				case 4 -> entry.sendHeartbeat();
 				case 5, 6 -> call(entry);
-				default -> endOne();
+				default -> endRandomCall();
 			}
 		}
 
-		void settle() {
+		void finishCallsAndDeliverMessages() {
 			while (!this.running.isEmpty()) {
-				endOne();
+				endRandomCall();
 			}
 			for (int i = 0; i < 40; i++) {
-				this.entries.forEach(Entry::beat);
+				this.entries.forEach(Entry::sendHeartbeat);
 				this.entries.forEach((entry) -> {
 					while (entry.readNext()) {
 						continue;
@@ -83,11 +83,11 @@
 			}
 		}
 
-		int believed() {
-			return this.entries.stream().mapToInt((entry) -> entry.believed).sum();
+		int assumedSlots() {
+			return this.entries.stream().mapToInt((entry) -> entry.assumedSlots).sum();
 		}
 
-		boolean connected() {
+		boolean anyConnected() {
 			return this.entries.stream().anyMatch((entry) -> entry.connected);
 		}
 
@@ -95,10 +95,10 @@
 		// dead connection arrives nowhere.
 		private void toggle(Entry entry) {
 			entry.connected = !entry.connected;
-			entry.believed = 0;
+			entry.assumedSlots = 0;
 			entry.unread.clear();
-			entry.loans = 0;
-			on(entry.connected ? new SlotEvent.EntryJoined(entry.id) : new SlotEvent.EntryLost(entry.id));
+			entry.loanCount = 0;
+			handle(entry.connected ? new SlotEvent.EntryJoined(entry.id) : new SlotEvent.EntryLost(entry.id));
 		}
 
 		private void call(Entry entry) {
@@ -106,20 +106,20 @@
 				return;
 			}
 			RequestId request = new RequestId("r" + this.calls++);
-			on(new SlotEvent.CallReceived(entry.id, request, 1, this.now + 1_000_000));
+			handle(new SlotEvent.CallReceived(entry.id, request, 1, this.now + 1_000_000));
 		}
 
-		private void endOne() {
+		private void endRandomCall() {
 			if (!this.running.isEmpty()) {
 				RequestId request = this.running.remove(this.random.nextInt(this.running.size()));
-				on(new SlotEvent.CallEnded(request, 1));
+				handle(new SlotEvent.CallEnded(request, 1));
 			}
 		}
 
-		private void on(SlotEvent event) {
+		private void handle(SlotEvent event) {
 			for (SlotCommand command : this.gate.handle(this.now, event)) {
 				if (command instanceof SlotCommand.LendSlots lend) {
-					entry(lend.entry()).lent(lend.slots());
+					entry(lend.entry()).onSlotsLent(lend.slots());
 				}
 				else if (command instanceof SlotCommand.Run run) {
 					this.running.add(run.request());
@@ -139,23 +139,23 @@
 
 			private boolean connected;
 
-			private int loans;
+			private int loanCount;
 
-			private int believed;
+			private int assumedSlots;
 
 			Entry(EntryId id) {
 				this.id = id;
 			}
 
-			void lent(int slots) {
-				this.loans++;
-				this.unread.addLast(() -> this.believed = slots);
+			void onSlotsLent(int slots) {
+				this.loanCount++;
+				this.unread.addLast(() -> this.assumedSlots = slots);
 			}
 
-			void beat() {
-				int loansBefore = this.loans;
+			void sendHeartbeat() {
+				int loanCountBefore = this.loanCount;
 				if (this.connected) {
-					this.unread.addLast(() -> on(new SlotEvent.LoanSeen(this.id, loansBefore)));
+					this.unread.addLast(() -> handle(new SlotEvent.LoanConfirmed(this.id, loanCountBefore)));
 				}
 			}
 
--- a/daemon/src/main/java/org/almondmount/daemon/entry/calls/KeyLedger.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/calls/KeyLedger.java
@@ -13,7 +13,7 @@
 import org.almondmount.daemon.entry.store.StoreOperation;
 import org.almondmount.daemon.entry.store.StoreWriter;
 import org.almondmount.model.RequestId;
-import org.almondmount.requests.RequestEvent.KeyDecision;
+import org.almondmount.requests.RequestEvent.KeyClaimOutcome;
 import org.almondmount.services.TableService;
 import org.almondmount.services.TableService.CommitResult;
 import org.almondmount.services.TableService.Condition;
@@ -59,7 +59,7 @@
 	 * @param deadlineMillis when nobody waits for the decision any more
 	 * @param decided told once, on the requests' duty
 	 */
-	void claim(LiveCall call, long deadlineMillis, Consumer<KeyDecision> decided) {
+	void claim(LiveCall call, long deadlineMillis, Consumer<KeyClaimOutcome> decided) {
 		String rowKey = Keys.claim(call.customer(), call.key().orElseThrow());
 		Claim claim = new Claim(call.request(), rowKey, call.spec().contentHash(), deadlineMillis, decided);
 		this.claims.put(call.request(), claim);
@@ -67,7 +67,8 @@
 	}
 
 	/**
-	 * The answer of the key's first request, after {@link KeyDecision#ANSWERED_BEFORE}.
+	 * The answer of the key's first request, after
+	 * {@link KeyClaimOutcome#ANSWERED_BEFORE}.
 	 * @param request the repeat
 	 * @return the row with the answer
 	 */
@@ -139,11 +140,11 @@
 			this.table.read(claim.rowKey).thenAccept((read) -> this.mailbox.deliver(() -> found(claim, read)));
 		}
 		else if (result instanceof CommitResult.NotCommitted) {
-			claim.tell(KeyDecision.STORE_AWAY);
+			claim.tell(KeyClaimOutcome.STORE_AWAY);
 		}
 		else {
 			claim.abandoned = true;
-			claim.tell(KeyDecision.UNKNOWN);
+			claim.tell(KeyClaimOutcome.UNKNOWN);
 		}
 	}
 
@@ -155,14 +156,14 @@
 			delete(claim);
 			return;
 		}
-		claim.tell(KeyDecision.CLAIMED);
+		claim.tell(KeyClaimOutcome.CLAIMED);
 	}
 
 	private void found(Claim claim, ReadResult<Optional<Row>> read) {
 		if (!(read instanceof ReadResult.Found<Optional<Row>> rows)) {
 			// The conflict has shown that somebody holds the key, so that its work may
 			// have run; only by whom can't be read.
-			claim.tell(KeyDecision.HELD_BY_OTHER);
+			claim.tell(KeyClaimOutcome.HELD_BY_OTHER);
 			return;
 		}
 		if (rows.rows().isEmpty()) {
@@ -170,7 +171,7 @@
 				write(claim);
 				return;
 			}
-			claim.tell(KeyDecision.STORE_AWAY);
+			claim.tell(KeyClaimOutcome.STORE_AWAY);
 			return;
 		}
 		ClaimRow row = Json.readRow(claim.rowKey, rows.rows().get().value(), ClaimRow.class);
@@ -181,15 +182,15 @@
 		claim.tell(decide(claim, row));
 	}
 
-	private static KeyDecision decide(Claim claim, ClaimRow row) {
+	private static KeyClaimOutcome decide(Claim claim, ClaimRow row) {
 		if (!row.hash().equals(claim.hash)) {
-			return KeyDecision.DIFFERENT_CONTENT;
+			return KeyClaimOutcome.DIFFERENT_CONTENT;
 		}
 		if (!row.answered()) {
-			return KeyDecision.HELD_BY_OTHER;
+			return KeyClaimOutcome.HELD_BY_OTHER;
 		}
 		claim.recorded = row;
-		return KeyDecision.ANSWERED_BEFORE;
+		return KeyClaimOutcome.ANSWERED_BEFORE;
 	}
 
 	// Sent again until the table takes it: a claim that stays behind would refuse every
@@ -225,7 +226,7 @@
 
 		private final long deadlineMillis;
 
-		private final Consumer<KeyDecision> decided;
+		private final Consumer<KeyClaimOutcome> decided;
 
 		private int tries;
 
@@ -237,7 +238,7 @@
 
 		private ClaimRow recorded;
 
-		Claim(RequestId request, String rowKey, String hash, long deadlineMillis, Consumer<KeyDecision> decided) {
+		Claim(RequestId request, String rowKey, String hash, long deadlineMillis, Consumer<KeyClaimOutcome> decided) {
 			this.request = request;
 			this.rowKey = rowKey;
 			this.hash = hash;
@@ -245,7 +246,7 @@
 			this.decided = decided;
 		}
 
-		void tell(KeyDecision decision) {
+		void tell(KeyClaimOutcome decision) {
 			if (!this.told) {
 				this.told = true;
 				this.decided.accept(decision);
--- a/daemon/src/main/java/org/almondmount/daemon/entry/calls/RequestShell.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/calls/RequestShell.java
@@ -93,7 +93,7 @@
 		this.parts = new Parts(context.self(), router, mailbox, context.clock(),
 				new KeyLedger(context.table(), claims, mailbox), context.telemetry(),
 				context.settings().timing().defaultDeadline());
-		this.alarm = new Alarm(context.timer(), context.clock(), mailbox, () -> feed(new RequestEvent.TimePassed()));
+		this.alarm = new Alarm(context.timer(), context.clock(), mailbox, () -> feed(new RequestEvent.Tick()));
 		Telemetry telemetry = context.telemetry();
 		telemetry.declare(REFUSED, RefusalReason.class);
 		telemetry.declare(RETRIED, RetryReason.class);
@@ -241,10 +241,10 @@
 			feed(new RequestEvent.Broken(broken.request(), broken.attempt(), target, broken.why()));
 		}
 		else if (message instanceof Message.SlotsLent lent) {
-			feed(new RequestEvent.TargetSlots(target, lent.slots()));
+			feed(new RequestEvent.TargetSlotsChanged(target, lent.slots()));
 		}
 		else if (message instanceof Message.Leaving) {
-			feed(new RequestEvent.TargetLeaving(target));
+			feed(new RequestEvent.TargetDraining(target));
 		}
 	}
 
@@ -307,8 +307,8 @@
 		else if (command instanceof RequestCommand.WakeAt wake) {
 			this.alarm.at(wake.atMillis());
 		}
-		else if (command instanceof RequestCommand.Explain explain) {
-			LOG.info("explain", "subject", explain.subject(), "what", explain.what());
+		else if (command instanceof RequestCommand.LogDecision explain) {
+			LOG.info("explain", "subject", explain.subject(), "what", explain.message());
 		}
 	}
 
@@ -342,7 +342,7 @@
 			return;
 		}
 		long deadline = call.arrivedMillis() + call.spec().deadline().toMillis();
-		this.parts.ledger.claim(call, deadline, (decision) -> feed(new RequestEvent.KeyDecided(request, decision)));
+		this.parts.ledger.claim(call, deadline, (decision) -> feed(new RequestEvent.KeyClaimEnded(request, decision)));
 	}
 
 	private void deliver(RequestCommand.Deliver deliver) {
@@ -361,7 +361,7 @@
 		this.parts.ledger.record(call.request(),
 				new KeyLedger.Outcome(whole.status(), whole.headers(), whole.body(), giveUp), () -> {
 					answer(call, whole);
-					feed(new RequestEvent.TimePassed());
+					feed(new RequestEvent.Tick());
 				});
 	}
 
@@ -392,8 +392,8 @@
 		}
 		end(call);
 		Refusal refusal = refuse.refusal();
-		LOG.info("refused", "request", call.request(), "customer", call.customer(), "kind", refusal.reason().word(),
-				"ran", refusal.ran().word(), "detail", refusal.detail());
+		LOG.info("refused", "request", call.request(), "customer", call.customer(), "kind",
+				refusal.reason().externalName(), "ran", refusal.runState().externalName(), "detail", refusal.detail());
 		refuse(call.exchange(), refusal, Map.of("request", call.request().value()));
 	}
 
