--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/ConfigurationDriver.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/ConfigurationDriver.java
@@ -6,7 +6,7 @@
 
 import org.almondmount.configuration.ConfigurationCommand;
 import org.almondmount.configuration.ConfigurationEvent;
-import org.almondmount.configuration.ConfigurationKeeper;
+import org.almondmount.configuration.ConfigurationManager;
 import org.almondmount.daemon.entry.json.DocumentException;
 import org.almondmount.daemon.entry.json.Json;
 import org.almondmount.daemon.entry.shell.EntryContext;
@@ -29,7 +29,7 @@
 
 	private final Mailbox mailbox;
 
-	private final ConfigurationKeeper keeper;
+	private final ConfigurationManager keeper;
 
 	private final Consumer<Configuration> inForce;
 
@@ -43,7 +43,7 @@
 		this.mailbox = mailbox;
 		this.inForce = inForce;
 		this.askPeer = askPeer;
-		this.keeper = new ConfigurationKeeper(context.settings().timing().configurationPoll().toMillis());
+		this.keeper = new ConfigurationManager(context.settings().timing().configurationPoll().toMillis());
 	}
 
 	Optional<Configuration> current() {
@@ -59,15 +59,15 @@
 	}
 
 	void tick() {
-		feed(new ConfigurationEvent.TimePassed());
+		feed(new ConfigurationEvent.Tick());
 	}
 
 	void pushed(Configuration configuration) {
-		feed(new ConfigurationEvent.Pushed(configuration));
+		feed(new ConfigurationEvent.ReceivedFromPeer(configuration));
 	}
 
 	void revisionSeen(long revision, String peer) {
-		feed(new ConfigurationEvent.RevisionSeen(revision, peer));
+		feed(new ConfigurationEvent.PeerRevisionReceived(revision, peer));
 	}
 
 	private void feed(ConfigurationEvent event) {
@@ -75,11 +75,11 @@
 	}
 
 	private void carryOut(ConfigurationCommand command) {
-		if (command instanceof ConfigurationCommand.InForce now) {
+		if (command instanceof ConfigurationCommand.Apply now) {
 			LOG.info("configuration-in-force", "revision", now.configuration().revision());
 			this.inForce.accept(now.configuration());
 		}
-		else if (command instanceof ConfigurationCommand.AskPeer ask) {
+		else if (command instanceof ConfigurationCommand.RequestFromPeer ask) {
 			this.askPeer.accept(ask.peer(), ask.ownRevision());
 		}
 		else {
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/ControlShell.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/ControlShell.java
@@ -341,7 +341,7 @@
 		document.put("epoch", this.holder.epoch());
 		document.put("schedulesHere", this.scheduling.term().isPresent());
 		document.put("workers", this.peers.workers().size());
-		document.put("entries", this.directory.passOn());
+		document.put("entries", this.directory.addressesToAnnounce());
 		return document;
 	}
 
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/EntryRows.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/EntryRows.java
@@ -110,7 +110,7 @@
 			return;
 		}
 		try {
-			this.directory.named(now, Json.readRow(row.key(), row.value(), EntryRow.class).address());
+			this.directory.addAddress(now, Json.readRow(row.key(), row.value(), EntryRow.class).address());
 		}
 		catch (DocumentException ex) {
 			LOG.fault("entry-row-unreadable", ex, "key", row.key());
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/EntryTalk.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/EntryTalk.java
@@ -46,7 +46,7 @@
 
 	void opened(PeerConnection connection) {
 		this.peers.entryOpened(connection);
-		this.directory.connected(this.context.clock().millis(), connection.peer().address());
+		this.directory.onConnected(this.context.clock().millis(), connection.peer().address());
 		this.configuration.current().ifPresent((now) -> connection.send(new Message.ConfigurationPush(now)));
 		this.holder.holder()
 			.ifPresent((entry) -> connection
@@ -55,7 +55,7 @@
 
 	void closed(PeerConnection connection) {
 		this.peers.entryClosed(connection);
-		this.directory.disconnected(this.context.clock().millis(), connection.peer().address());
+		this.directory.onDisconnected(this.context.clock().millis(), connection.peer().address());
 	}
 
 	void received(PeerConnection connection, Message message) {
@@ -71,7 +71,7 @@
 			named(List.of(is.address()));
 		}
 		else if (message instanceof Message.Leaving) {
-			this.directory.left(connection.peer().address());
+			this.directory.onShutdownAnnounced(connection.peer().address());
 		}
 	}
 
@@ -81,7 +81,7 @@
 	}
 
 	void tick(long now) {
-		for (String address : this.directory.due(now)) {
+		for (String address : this.directory.addressesToDial(now)) {
 			this.dial.accept(parse(address));
 		}
 		if (now < this.heartbeatAt) {
@@ -102,14 +102,14 @@
 		}
 		this.configuration.revisionSeen(heartbeat.revision(), sender.value());
 		connection.send(new Message.HeartbeatReply(heartbeat.sequence(), this.configuration.revision(), 0, List.of(),
-				List.of(), this.directory.passOn()));
+				List.of(), this.directory.addressesToAnnounce()));
 	}
 
 	private void named(List<String> addresses) {
 		long now = this.context.clock().millis();
 		for (String address : addresses) {
 			if (isAddress(address)) {
-				this.directory.named(now, address);
+				this.directory.addAddress(now, address);
 			}
 		}
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/JobDriver.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/JobDriver.java
@@ -203,7 +203,7 @@
 		for (Assignment each : placement) {
 			this.expected.expect(each.worker(), attempt, each.member());
 		}
-		boolean hasCheckpoint = job.spec().checkpoints() && job.attempt() > 0;
+		boolean hasCheckpoint = job.spec().savesCheckpoints() && job.attempt() > 0;
 		feed(new JobEvent.JobRecovered(job.id(), job.spec(), job.attempt(), placement, !placement.isEmpty(),
 				hasCheckpoint));
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/PlanDesk.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/PlanDesk.java
@@ -10,7 +10,7 @@
 
 import org.almondmount.configuration.ConfirmationCommand;
 import org.almondmount.configuration.ConfirmationEvent;
-import org.almondmount.configuration.ConfirmationKeeper;
+import org.almondmount.configuration.ConfirmationManager;
 import org.almondmount.daemon.entry.json.Json;
 import org.almondmount.daemon.entry.shell.EntryContext;
 import org.almondmount.daemon.entry.shell.Mailbox;
@@ -53,7 +53,7 @@
 
 	private final Parts parts;
 
-	private final ConfirmationKeeper keeper = new ConfirmationKeeper(ANSWER_WITHIN_MILLIS);
+	private final ConfirmationManager keeper = new ConfirmationManager(ANSWER_WITHIN_MILLIS);
 
 	private final Map<Long, Confirmation> confirmations = new HashMap<>();
 
@@ -74,7 +74,7 @@
 	 * @return true while it is
 	 */
 	boolean holdsStarts() {
-		return this.keeper.holdsStarts();
+		return this.keeper.areStartsHeld();
 	}
 
 	boolean isIdle() {
@@ -82,7 +82,7 @@
 	}
 
 	void tick() {
-		feed(new ConfirmationEvent.TimePassed());
+		feed(new ConfirmationEvent.Tick());
 	}
 
 	/** The term is over: those who wait hear that the ending is not known. */
@@ -248,12 +248,12 @@
 		return found;
 	}
 
-	private static ConfirmationEvent.Ending ending(CommitResult result) {
+	private static ConfirmationEvent.CommitOutcome ending(CommitResult result) {
 		if (result instanceof CommitResult.Committed) {
-			return ConfirmationEvent.Ending.COMMITTED;
+			return ConfirmationEvent.CommitOutcome.COMMITTED;
 		}
-		return (result instanceof CommitResult.Conflict) ? ConfirmationEvent.Ending.SUPERSEDED
-				: ConfirmationEvent.Ending.NOT_COMMITTED;
+		return (result instanceof CommitResult.Conflict) ? ConfirmationEvent.CommitOutcome.SUPERSEDED
+				: ConfirmationEvent.CommitOutcome.NOT_COMMITTED;
 	}
 
 	private void submit(List<Condition> conditions, List<Write> writes, long giveUp, Consumer<CommitResult> then) {
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/TargetTalk.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/TargetTalk.java
@@ -96,7 +96,7 @@
 		this.configuration.revisionSeen(heartbeat.revision(), connection.peer().name());
 		connection.send(new Message.HeartbeatReply(heartbeat.sequence(), this.configuration.revision(),
 				this.scheduling.zonesFreshForMillis(), this.wholeness.wholeAttempts(now, worker), forgotten,
-				this.directory.passOn()));
+				this.directory.addressesToAnnounce()));
 	}
 
 	private void feed(JobEvent event) {
--- a/daemon/src/main/java/org/almondmount/daemon/target/SlotShell.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/SlotShell.java
@@ -89,15 +89,16 @@
 		}
 		else if (command instanceof SlotCommand.RefuseNotStarted refuse) {
 			this.telemetry.count("calls-not-started");
-			LOG.info("call-not-started", "request", refuse.request(), "attempt", refuse.attempt(), "why", refuse.why());
-			tell(refuse.entry(), new Message.CallNotStarted(refuse.request(), refuse.attempt(), refuse.why()));
+			LOG.info("call-not-started", "request", refuse.request(), "attempt", refuse.attempt(), "why",
+					refuse.reason());
+			tell(refuse.entry(), new Message.CallNotStarted(refuse.request(), refuse.attempt(), refuse.reason()));
 		}
 		else if (command instanceof SlotCommand.AnswerBroken broken) {
 			this.telemetry.count("calls-broken");
-			LOG.warn("call-broken", "request", broken.request(), "attempt", broken.attempt(), "why", broken.why());
-			tell(broken.entry(), new Message.CallBroken(broken.request(), broken.attempt(), broken.why()));
+			LOG.warn("call-broken", "request", broken.request(), "attempt", broken.attempt(), "why", broken.reason());
+			tell(broken.entry(), new Message.CallBroken(broken.request(), broken.attempt(), broken.reason()));
 		}
-		else if (command instanceof SlotCommand.AnnounceLeaving) {
+		else if (command instanceof SlotCommand.AnnounceDraining) {
 			this.leaving = true;
 			this.entries.links().forEach((link) -> link.connection().send(new Message.Leaving()));
 		}
--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
@@ -195,7 +195,7 @@
 		if (beat.isEmpty()) {
 			return;
 		}
-		this.slots.handle(now, new SlotEvent.LoanSeen(link.entry(), beat.get().loans()));
+		this.slots.handle(now, new SlotEvent.LoanConfirmed(link.entry(), beat.get().loans()));
 		reply.entries().forEach((address) -> this.entries.heardOf(now, address));
 		reply.forgotten().forEach((attempt) -> this.members.handle(now, new MemberEvent.Forgotten(attempt)));
 		long age = now - beat.get().sentAt();
@@ -230,12 +230,12 @@
 
 	private void zoneHeard(long now, long freshFor) {
 		ZoneState state = this.configuration.zone(this.settings.worker().zone());
-		this.slots.handle(now, new SlotEvent.ZoneHeard(state));
+		this.slots.handle(now, new SlotEvent.ZoneStateReceived(state));
 		this.members.handle(now, new MemberEvent.ZoneHeard(state, this.configuration.revision(), freshFor));
 	}
 
 	private void tick(long now) {
-		this.slots.handle(now, new SlotEvent.TimePassed());
+		this.slots.handle(now, new SlotEvent.Tick());
 		this.members.handle(now, new MemberEvent.TimePassed());
 		if (now >= this.beatAt) {
 			this.beatAt = now + this.settings.timing().heartbeat().toMillis();
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -172,7 +172,7 @@
 	 */
 	public CompletableFuture<Boolean> configured(OptionalLong patience) {
 		CompletableFuture<Boolean> outcome = new CompletableFuture<>();
-		long millis = patience.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
+		long millis = patience.orElse(IntakePolicy.DEFAULT.defaultTimeoutMillis());
 		boolean taken = this.loop.run(() -> awaitConfiguration(millis, outcome));
 		if (!taken) {
 			outcome.complete(false);
@@ -188,11 +188,11 @@
 	 */
 	public CompletableFuture<Submission> submit(Workflow job, OptionalLong patience) {
 		CompletableFuture<Submission> outcome = new CompletableFuture<>();
-		long millis = patience.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
+		long millis = patience.orElse(IntakePolicy.DEFAULT.defaultTimeoutMillis());
 		boolean taken = this.loop.run(() -> this.intake.submit(job, millis).thenAccept(outcome::complete));
 		if (!taken) {
 			outcome.complete(new Submission.Refused(IntakeRefusal.BUSY,
-					IntakePolicy.DEFAULT.comeBackAfter(IntakeRefusal.BUSY, millis)));
+					IntakePolicy.DEFAULT.retryAfter(IntakeRefusal.BUSY, millis)));
 		}
 		return outcome;
 	}
@@ -298,12 +298,12 @@
 			outcome.complete(true);
 			return;
 		}
-		if (this.awaiting.size() >= IntakePolicy.DEFAULT.mostWaiting()) {
+		if (this.awaiting.size() >= IntakePolicy.DEFAULT.maxWaiting()) {
 			outcome.complete(false);
 			return;
 		}
 		this.awaiting.add(outcome);
-		this.loop.after(IntakePolicy.DEFAULT.waitsUntil(0, patienceMillis, false), () -> {
+		this.loop.after(IntakePolicy.DEFAULT.waitDeadline(0, patienceMillis, false), () -> {
 			this.awaiting.remove(outcome);
 			outcome.complete(false);
 		});
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
@@ -14,8 +14,8 @@
 import org.almondmount.fleet.StorePatience;
 import org.almondmount.fleet.Submission;
 import org.almondmount.fleet.Tables;
-import org.almondmount.intake.IntakeLine;
 import org.almondmount.intake.IntakePolicy;
+import org.almondmount.intake.IntakeQueue;
 import org.almondmount.intake.IntakeRefusal;
 import org.almondmount.rows.RowStore;
 import org.almondmount.rows.RowStore.Condition;
@@ -81,7 +81,7 @@
 
 	private final IntakePolicy policy = IntakePolicy.DEFAULT;
 
-	private final IntakeLine<IntakeAttempt> line = new IntakeLine<>(this.policy.mostWaiting());
+	private final IntakeQueue<IntakeAttempt> line = new IntakeQueue<>(this.policy.maxWaiting());
 
 	/** Jobs of which nobody can tell whether they were accepted, the oldest first. */
 	private final Set<String> unsettled = new LinkedHashSet<>();
@@ -224,7 +224,7 @@
 		}
 		Optional<String> peer = this.storeNews.mayReachStore(attempt::mayAskPeer);
 		long left = attempt.leftMillis(this.loop.steadyMillis());
-		if (peer.isPresent() && left > this.policy.wayBackMillis()) {
+		if (peer.isPresent() && left > this.policy.responseMarginMillis()) {
 			askPeer(attempt, peer.get());
 			return;
 		}
@@ -232,7 +232,7 @@
 	}
 
 	private void standInLine(IntakeAttempt attempt) {
-		long until = this.policy.waitsUntil(attempt.arrivedMillis(), attempt.patienceMillis(), attempt.unsettled());
+		long until = this.policy.waitDeadline(attempt.arrivedMillis(), attempt.patienceMillis(), attempt.unsettled());
 		if (attempt.forPeer() || this.loop.steadyMillis() >= until) {
 			giveUp(attempt);
 			return;
@@ -339,7 +339,7 @@
 			attempt.mayBeKept();
 		}
 		IntakeRefusal why = attempt.why();
-		Duration comeBack = this.policy.comeBackAfter(why, attempt.leftMillis(now));
+		Duration comeBack = this.policy.retryAfter(why, attempt.leftMillis(now));
 		this.telemetry.count(attempt.unsettled() ? "jobs.unsettled" : "jobs.refused");
 		this.telemetry.count(REFUSED, why);
 		LOG.warn("job-not-accepted", "job", attempt.job().id(), "outcome", why, "why", attempt.detail(), "waitedMillis",
--- a/runtime/src/main/java/org/almondmount/http/Problem.java
+++ b/runtime/src/main/java/org/almondmount/http/Problem.java
@@ -54,12 +54,12 @@
 	private static byte[] document(Refusal refusal, Map<String, String> identifiers) {
 		RefusalReason reason = refusal.reason();
 		ObjectNode document = JSON.createObjectNode();
-		document.put("type", TYPE_PREFIX + reason.word());
-		document.put("title", reason.word().replace('-', ' '));
+		document.put("type", TYPE_PREFIX + reason.externalName());
+		document.put("title", reason.externalName().replace('-', ' '));
 		document.put("status", reason.status());
 		document.put("detail", refusal.detail());
-		document.put("kind", reason.word());
-		document.put("ran", refusal.ran().word());
+		document.put("kind", reason.externalName());
+		document.put("ran", refusal.runState().externalName());
 		document.put("remedy", reason.remedy());
 		identifiers.forEach(document::put);
 		try {
--- a/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
@@ -29,7 +29,7 @@
 	void everyRefusalIsListedWithItsStatusAndRemedy() throws IOException {
 		String page = Files.readString(PAGE);
 		for (RefusalReason reason : RefusalReason.values()) {
-			String row = "| `" + reason.word() + "` | " + reason.status() + " | " + reason.remedy() + " |";
+			String row = "| `" + reason.externalName() + "` | " + reason.status() + " | " + reason.remedy() + " |";
 			assertThat(page).contains(row);
 		}
 	}
@@ -38,7 +38,7 @@
 	void everyRetryReasonIsListed() throws IOException {
 		String page = Files.readString(PAGE);
 		for (RetryReason reason : RetryReason.values()) {
-			assertThat(page).contains("| `" + reason.word() + "` |");
+			assertThat(page).contains("| `" + reason.externalName() + "` |");
 		}
 	}
 
