--- a/core/src/main/java/org/almondmount/configuration/ConfigurationCommand.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfigurationCommand.java
@@ -3,22 +3,24 @@
 import org.almondmount.model.Configuration;
 
 /**
- * Everything that the configuration keeper asks its driver to do.
+ * Commands from the configuration manager to its driver.
  */
 public sealed interface ConfigurationCommand {
 
-	/** This configuration holds here from now on; tell every part and every peer. */
+	/**
+	 * Put this configuration in force and propagate it to every component and every peer.
+	 */
 	record Apply(Configuration configuration) implements ConfigurationCommand {
 	}
 
 	/**
-	 * Read the row; answer with {@link ConfigurationEvent.RowRead} or
-	 * {@link ConfigurationEvent.ReadFailed}.
+	 * Read the configuration row; report the result with
+	 * {@link ConfigurationEvent.RowRead} or {@link ConfigurationEvent.ReadFailed}.
 	 */
 	record ReadRow() implements ConfigurationCommand {
 	}
 
-	/** Ask a peer for its configuration, which is newer. */
+	/** Request the configuration of a peer that has a higher revision. */
 	record RequestFromPeer(String peer, long ownRevision) implements ConfigurationCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/configuration/ConfigurationEvent.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfigurationEvent.java
@@ -3,13 +3,13 @@
 import org.almondmount.model.Configuration;
 
 /**
- * Everything that the configuration keeper is told.
+ * Events that the configuration manager handles.
  */
 public sealed interface ConfigurationEvent {
 
 	/**
-	 * The configuration as the table had it; {@link Configuration#EMPTY} if there is no
-	 * row.
+	 * The configuration was read from the table; it is {@link Configuration#EMPTY} if the
+	 * row does not exist.
 	 */
 	record RowRead(Configuration configuration) implements ConfigurationEvent {
 	}
@@ -18,11 +18,11 @@
 	record ReadFailed() implements ConfigurationEvent {
 	}
 
-	/** A peer sent its configuration, which was accepted before it was sent. */
+	/** A peer sent its configuration, which the peer had accepted before. */
 	record ReceivedFromPeer(Configuration configuration) implements ConfigurationEvent {
 	}
 
-	/** A peer has this revision in force. */
+	/** A peer announced the revision that it has in force. */
 	record PeerRevisionReceived(long revision, String peer) implements ConfigurationEvent {
 	}
 
--- a/core/src/main/java/org/almondmount/configuration/ConfigurationManager.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfigurationManager.java
@@ -6,13 +6,12 @@
 import org.almondmount.model.Configuration;
 
 /**
- * Keeps the configuration that is in force in one process. Deterministic; not
- * thread-safe.
+ * Holds the configuration in force of a process. Deterministic; not thread-safe.
  * <p>
- * A table that was slow, a peer that was frozen or a stale entry that came back can each
- * deliver an old configuration after a new one, and operators would see their change
- * revert. Taking a configuration only when its revision is higher than the one in force
- * is enough, because a revision is given out once, by a fenced commit.
+ * A slow table, a suspended peer or a stale entry that resumes can each deliver an old
+ * configuration after a new one, which would revert an operator's change. It is
+ * sufficient to accept only configurations with a higher revision than the one in force,
+ * because each revision is assigned once, by a fenced commit.
  */
 public final class ConfigurationManager {
 
@@ -29,7 +28,7 @@
 	private long nextPeerRequestMillis = Long.MIN_VALUE;
 
 	/**
-	 * Makes a keeper that knows no configuration.
+	 * Creates a manager without a configuration.
 	 * @param pollIntervalMillis interval at which the row is read
 	 */
 	public ConfigurationManager(long pollIntervalMillis) {
@@ -38,7 +37,7 @@
 
 	/**
 	 * The configuration in force.
-	 * @return the configuration, or empty before the first is known
+	 * @return the configuration, or empty before the first one is accepted
 	 */
 	public Optional<Configuration> current() {
 		return this.current;
@@ -46,17 +45,17 @@
 
 	/**
 	 * The revision in force.
-	 * @return the revision, 0 also while none is known
+	 * @return the revision; 0 also before the first configuration is accepted
 	 */
 	public long revision() {
 		return this.current.map(Configuration::revision).orElse(0L);
 	}
 
 	/**
-	 * Takes one event.
+	 * Handles an event.
 	 * @param nowMillis the driver's monotonic time in milliseconds
 	 * @param event what happened
-	 * @return what is to be done, in order
+	 * @return the commands to execute, in order
 	 */
 	public List<ConfigurationCommand> handle(long nowMillis, ConfigurationEvent event) {
 		if (event instanceof ConfigurationEvent.RowRead read) {
--- a/core/src/main/java/org/almondmount/configuration/ConfirmationCommand.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfirmationCommand.java
@@ -5,36 +5,40 @@
 import org.almondmount.plan.Plan;
 
 /**
- * Everything that the confirmation keeper asks its driver to do.
+ * Commands from the confirmation manager to its driver.
  */
 public sealed interface ConfirmationCommand {
 
 	/**
-	 * Let nothing start until {@link AllowStarts}: a zone may be out of service already.
+	 * Start no task until {@link AllowStarts}, because a zone may already be out of
+	 * service.
 	 */
 	record HoldStarts() implements ConfirmationCommand {
 	}
 
-	/** Starts need no longer be held back on this account. */
+	/** Starts are no longer held by the pending change. */
 	record AllowStarts() implements ConfirmationCommand {
 	}
 
 	/**
-	 * Commit the configuration with its plan and history, fenced by the epoch, and settle
-	 * a lost answer; answer with {@link ConfirmationEvent.CommitEnded}.
+	 * Commit the configuration with its plan and history, fenced by the epoch, and
+	 * determine the outcome if the answer is lost; report it with
+	 * {@link ConfirmationEvent.CommitEnded}.
 	 */
 	record Commit(Plan plan, Configuration next) implements ConfirmationCommand {
 	}
 
-	/** The configuration is accepted: put it in force. */
+	/** Put the accepted configuration in force. */
 	record Accepted(Configuration configuration) implements ConfirmationCommand {
 	}
 
-	/** Tell the operator that the revision is accepted. */
+	/** Inform the operator that the revision is accepted. */
 	record AnswerAccepted(long request, long revision) implements ConfirmationCommand {
 	}
 
-	/** Tell the operator why not, or that it is not known yet. */
+	/**
+	 * Inform the operator why the change is refused or that its outcome is not known yet.
+	 */
 	record AnswerRefused(long request, Refusal refusal) implements ConfirmationCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/configuration/ConfirmationEvent.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfirmationEvent.java
@@ -4,21 +4,21 @@
 import org.almondmount.plan.Plan;
 
 /**
- * Everything that the confirmation keeper is told.
+ * Events that the confirmation manager handles.
  */
 public sealed interface ConfirmationEvent {
 
 	/**
-	 * An operator confirms a plan.
+	 * An operator confirmed a plan.
 	 *
-	 * @param request matches the answer
-	 * @param plan the plan as its row has it
+	 * @param request identifies the answer to the request
+	 * @param plan the plan as stored in its row
 	 * @param current the configuration in force
 	 */
 	record Confirmed(long request, Plan plan, Configuration current) implements ConfirmationEvent {
 	}
 
-	/** The commit of a configuration came to its end. */
+	/** The commit of a configuration has completed. */
 	record CommitEnded(long revision, CommitOutcome outcome) implements ConfirmationEvent {
 	}
 
@@ -31,14 +31,15 @@
 	}
 
 	/**
-	 * How the commit of a configuration ended, settled if its answer was lost.
+	 * Outcome of the commit of a configuration, determined afterwards if the answer was
+	 * lost.
 	 */
 	enum CommitOutcome {
 
 		/** It took effect. */
 		COMMITTED,
 
-		/** Another change was first, or the plan was used already. */
+		/** Another change was committed first, or the plan was already used. */
 		SUPERSEDED,
 
 		/** The table refused it; it never takes effect. */
--- a/core/src/main/java/org/almondmount/configuration/ConfirmationManager.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfirmationManager.java
@@ -10,12 +10,12 @@
 import org.almondmount.plan.Plan;
 
 /**
- * Turns one confirmed plan after the other into the next configuration. Used by the
- * holder of the scheduler's lease only. Deterministic; not thread-safe.
+ * Turns confirmed plans into the next configuration, one at a time. Used only by the
+ * holder of the scheduler's lease. Deterministic; not thread-safe.
  * <p>
- * An answer that is lost leaves open whether a zone is out of service. A task that starts
- * meanwhile could start in a zone that operators were told is out, so starts are held
- * back from before the commit is sent until its ending is known.
+ * If the answer to a commit is lost, it is unknown whether a zone is out of service. A
+ * task started meanwhile could run in a zone that was reported to operators as out of
+ * service, so starts are held from before the commit is sent until its outcome is known.
  */
 public final class ConfirmationManager {
 
@@ -26,19 +26,19 @@
 	private PendingChange pending;
 
 	/**
-	 * Makes a keeper without a pending change.
-	 * @param answerTimeoutMillis after this time an operator hears that the ending is not
-	 * known yet
+	 * Creates a manager without a pending change.
+	 * @param answerTimeoutMillis time after which the operator is informed that the
+	 * outcome is not known yet
 	 */
 	public ConfirmationManager(long answerTimeoutMillis) {
 		this.answerTimeoutMillis = answerTimeoutMillis;
 	}
 
 	/**
-	 * Takes one event.
+	 * Handles an event.
 	 * @param nowMillis the driver's monotonic time in milliseconds
 	 * @param event what happened
-	 * @return what is to be done, in order
+	 * @return the commands to execute, in order
 	 */
 	public List<ConfirmationCommand> handle(long nowMillis, ConfirmationEvent event) {
 		List<ConfirmationCommand> commands = new ArrayList<>();
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Whether the ending of a change is still open.
-	 * @return true from before the commit is sent until its ending is known
+	 * Whether starts are held because the outcome of a change is unknown.
+	 * @return true from before the commit is sent until its outcome is known
 	 */
 	public boolean areStartsHeld() {
 		return this.pending != null;
--- a/core/src/main/java/org/almondmount/configuration/package-info.java
+++ b/core/src/main/java/org/almondmount/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions about the accepted configuration: which revision is in force here, and
- * how an operator's plan becomes the next one. No I/O.
+ * Decisions about the accepted configuration: which revision is in force in this process
+ * and how an operator's plan becomes the next revision. No I/O.
  */
 package org.almondmount.configuration;
--- a/core/src/main/java/org/almondmount/intake/IntakePolicy.java
+++ b/core/src/main/java/org/almondmount/intake/IntakePolicy.java
@@ -3,33 +3,38 @@
 import java.time.Duration;
 
 /**
- * How long jobs wait for a store that does not take them, and when their callers may come
- * back. Immutable.
+ * Determines how long jobs wait for an unavailable store and when their callers may
+ * retry. Immutable.
  * <p>
- * It answers the load of an outage of some seconds: callers who give three seconds and a
- * few tries. Refused at once they spend their tries on a store that is away, the last one
- * a moment before it is back; held until their time is over they can't go elsewhere. So a
- * job waits for a part of its caller's time, and the caller keeps the greater part for
- * other entries. Only where what would be left is too short for another try does it wait
- * to the end: refused then, the caller would be lost for certain.
+ * It is designed for outages of some seconds and callers with a timeout of three seconds
+ * and a few attempts. Callers that are refused immediately use up their attempts while
+ * the store is unavailable, the last one just before it returns; callers that are held
+ * until their timeout cannot try another entry. A job therefore waits for a part of its
+ * caller's timeout, which leaves most of it for other entries. Only if the rest would be
+ * too short for another attempt does the job wait for the whole timeout, because a
+ * refusal at that point would certainly fail the call.
  *
- * @param waitShare part of a caller's time for which a job that was sent nowhere waits
- * @param finalAttemptMillis a caller with no more time left than that makes its last try
- * @param maxWaiting jobs that wait at once; more would be written so late after the
- * store's return that their callers are gone
- * @param defaultTimeoutMillis a caller's time where it does not say
- * @param responseMarginMillis kept back of a caller's time for the way of the answer
- * @param retryAfterMillis when a caller may come back that can't wait here
+ * @param waitShare share of the caller's timeout for which a job that was not sent to the
+ * store waits
+ * @param finalAttemptMillis remaining time up to which an attempt is the caller's last
+ * one
+ * @param maxWaiting maximum number of waiting jobs; further jobs would be written so late
+ * after the store's return that their callers have timed out
+ * @param defaultTimeoutMillis timeout of callers that specify none
+ * @param responseMarginMillis part of the caller's timeout reserved for the response to
+ * reach it
+ * @param retryAfterMillis time after which a caller may retry if its job cannot wait here
  */
 public record IntakePolicy(double waitShare, long finalAttemptMillis, int maxWaiting, long defaultTimeoutMillis,
 		long responseMarginMillis, long retryAfterMillis) {
 
 	/**
-	 * With three eighths of its time for each, a caller of three seconds makes five
-	 * tries, as many as most make, and never spends half of its time at one entry but for
-	 * the last try. The store takes about 200 jobs a second, so 400 are kept within two
-	 * seconds of its return. An answer is back within a few milliseconds, on a busy VM
-	 * within 80.
+	 * The default policy. At three eighths of the remaining time per attempt, a caller
+	 * with a timeout of three seconds makes five attempts, as many as most callers make,
+	 * and never spends half of its time at one entry except for the last attempt. The
+	 * store accepts about 200 jobs per second, so 400 jobs are stored within two seconds
+	 * of its return. A response reaches the caller within a few milliseconds, on a busy
+	 * VM within 80.
 	 */
 	public static final IntakePolicy DEFAULT = new IntakePolicy(3.0 / 8, 600, 400, 3_000, 80, 1_000);
 
@@ -40,12 +45,12 @@
 	}
 
 	/**
-	 * Until when a job waits.
-	 * @param arrivedMillis when it came
-	 * @param timeoutMillis the time that its caller gives
-	 * @param mayBeStored whether it was sent to the store and may be kept: no other entry
-	 * could say more, so that only the end of the caller's time ends the wait
-	 * @return a time of the same clock
+	 * The time until which a job waits.
+	 * @param arrivedMillis the time of its arrival
+	 * @param timeoutMillis the caller's timeout
+	 * @param mayBeStored whether the job was sent to the store and may have been stored;
+	 * no other entry would know more, so the job waits for the caller's whole timeout
+	 * @return the time at which the wait ends, on the same clock
 	 */
 	public long waitDeadline(long arrivedMillis, long timeoutMillis, boolean mayBeStored) {
 		long usableMillis = Math.max(0, timeoutMillis - this.responseMarginMillis);
@@ -55,12 +60,13 @@
 	}
 
 	/**
-	 * When a caller may come back. One that waited here does so at once: the next entry
-	 * lets it wait again, so that it is in line when the store returns. One that found no
-	 * place in the line comes later, unless its time would be over by then.
-	 * @param reason why it is refused
-	 * @param remainingMillis what is left of its time
-	 * @return the time from now
+	 * The delay after which a caller may retry. A caller whose job waited here retries
+	 * immediately: the next entry queues the job again, so it is queued when the store
+	 * returns. A caller that was refused by a full queue retries later, unless its
+	 * timeout would have passed by then.
+	 * @param reason the reason for the refusal
+	 * @param remainingMillis the remaining time of the caller
+	 * @return the delay from now
 	 */
 	public Duration retryAfter(IntakeRefusal reason, long remainingMillis) {
 		boolean retryFitsTimeout = this.retryAfterMillis + this.responseMarginMillis < remainingMillis;
--- a/core/src/main/java/org/almondmount/intake/IntakeQueue.java
+++ b/core/src/main/java/org/almondmount/intake/IntakeQueue.java
@@ -8,14 +8,14 @@
 import java.util.function.Predicate;
 
 /**
- * Jobs that wait for the store, the urgent ones first and the oldest first among alike.
+ * Queue of the jobs that wait for the store, ordered by priority and then by arrival.
  * Mutable; not thread-safe.
  * <p>
- * It answers the return of the store after an outage: without an order the last to come
- * would often be first, and an urgent job of three seconds would wait behind work that
- * has minutes.
+ * The order matters when the store returns after an outage: without it the most recent
+ * job would often be first, and an urgent job with a timeout of three seconds would wait
+ * behind jobs with timeouts of minutes.
  *
- * @param <T> what waits
+ * @param <T> the type of the queued values
  */
 public final class IntakeQueue<T> {
 
@@ -29,19 +29,19 @@
 	private long lastSequenceNumber;
 
 	/**
-	 * Makes an empty line.
-	 * @param capacity how many may wait
+	 * Creates an empty queue.
+	 * @param capacity the maximum number of items
 	 */
 	public IntakeQueue(int capacity) {
 		this.capacity = capacity;
 	}
 
 	/**
-	 * Adds something at the end of its priority.
+	 * Adds a value behind all others of its priority.
 	 * @param priority 0 for the most urgent
-	 * @param expiresAtMillis until when it waits
-	 * @param value what waits
-	 * @return false where the line is full; then it is not added
+	 * @param expiresAtMillis the time at which it expires
+	 * @param value the value to add
+	 * @return false if the queue is full and the value was not added
 	 */
 	public boolean add(int priority, long expiresAtMillis, T value) {
 		if (this.items.size() >= this.capacity) {
@@ -52,9 +52,9 @@
 	}
 
 	/**
-	 * Takes the first one out that is ready.
-	 * @param ready whether something may go on now
-	 * @return the first, or empty where nothing that waits is ready
+	 * Removes and returns the first value that is ready.
+	 * @param ready tests whether a value may proceed now
+	 * @return the first ready value, or empty if there is none
 	 */
 	public Optional<T> takeFirst(Predicate<T> ready) {
 		for (Item<T> item : this.items) {
@@ -67,9 +67,9 @@
 	}
 
 	/**
-	 * Takes out what has waited long enough.
+	 * Removes and returns the expired values.
 	 * @param nowMillis the time
-	 * @return what waited until now or longer, in its order
+	 * @return the expired values in queue order
 	 */
 	public List<T> takeExpired(long nowMillis) {
 		List<T> expired = new ArrayList<>();
@@ -88,7 +88,7 @@
 	}
 
 	/**
-	 * One that waits.
+	 * A queued value.
 	 */
 	private record Item<T>(int priority, long sequenceNumber, long expiresAtMillis, T value) {
 	}
--- a/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
+++ b/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
@@ -1,24 +1,24 @@
 package org.almondmount.intake;
 
 /**
- * Why a job was not accepted, with what its caller can do.
+ * Reasons for not accepting a job, with the remedy for the caller.
  */
 public enum IntakeRefusal {
 
-	/** The store answers nobody here. */
+	/** The store does not answer this entry. */
 	STORE_SILENT("the store does not answer; hand the job in again after the time to come back", true),
 
-	/** The store answers, and takes nothing from this entry. */
+	/** The store answers but accepts no jobs from this entry. */
 	STORE_TURNS_AWAY("the store takes nothing from this entry; hand the job in again, it may reach another entry",
 			true),
 
-	/** More jobs wait for the store than this entry keeps. */
+	/** The number of jobs that wait for the store has reached the limit of this entry. */
 	TOO_MANY_WAIT("too many jobs wait for the store here; hand the job in again after the time to come back", false),
 
-	/** This entry ends or has too much to do. */
+	/** This entry is shutting down or overloaded. */
 	BUSY("this entry takes no more work; hand the job in again, it may reach another entry", false),
 
-	/** The job was sent to the store, and no answer came. */
+	/** The job was sent to the store and no answer arrived. */
 	UNSETTLED("nobody can tell whether the job was accepted; hand the same job in again to settle it", true);
 
 	private final String remedy;
@@ -31,15 +31,15 @@
 	}
 
 	/**
-	 * Whether its caller waited in the line before it was refused.
-	 * @return whether it did
+	 * Whether the job waited in the queue before it was refused.
+	 * @return true if it waited
 	 */
 	public boolean hasWaited() {
 		return this.hasWaited;
 	}
 
 	/**
-	 * What is wrong and what to do, for people.
+	 * A description of the problem and its remedy for people.
 	 * @return one sentence
 	 */
 	public String remedy() {
--- a/core/src/main/java/org/almondmount/membership/EntryDirectory.java
+++ b/core/src/main/java/org/almondmount/membership/EntryDirectory.java
@@ -7,12 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * The peer addresses of the other entries, learned from rows that are renewed seldom and
- * by word of mouth. Deterministic; not thread-safe.
+ * The peer addresses of the other entries, discovered from rows that are rarely renewed
+ * and by gossip. Deterministic; not thread-safe.
  * <p>
- * The table can be away for long, and a row of an entry that was killed stays behind. So
- * an address is dialled with growing intervals and forgotten once it has neither answered
- * nor been named for the time to forget; whoever still knows it names it again.
+ * The table can be unavailable for a long time, and the row of a killed entry remains. An
+ * address is therefore dialled with growing intervals and removed once the retention time
+ * has passed without a connection. Peers that still know the address announce it again.
  */
 public final class EntryDirectory {
 
@@ -29,10 +29,9 @@
 	private final Map<String, KnownEntry> knownEntries = new LinkedHashMap<>();
 
 	/**
-	 * Makes a directory that knows nobody.
+	 * Creates an empty directory.
 	 * @param ownAddress this entry's peer address, which is never dialled
-	 * @param retentionMillis time after which an address that does not answer is
-	 * forgotten
+	 * @param retentionMillis time after which an address that does not answer is removed
 	 */
 	public EntryDirectory(String ownAddress, long retentionMillis) {
 		this.ownAddress = ownAddress;
@@ -40,7 +39,7 @@
 	}
 
 	/**
-	 * Somebody named an entry's address.
+	 * Adds the address of an entry that was announced by a row, a target or a peer.
 	 * @param nowMillis the driver's monotonic time
 	 * @param address the address, {@code ip:port}
 	 */
@@ -54,7 +53,7 @@
 	}
 
 	/**
-	 * A connection to the entry is open, whoever dialled.
+	 * Records that a connection to the entry was opened by either side.
 	 * @param nowMillis the driver's monotonic time
 	 * @param address the entry's peer address
 	 */
@@ -68,7 +67,7 @@
 	}
 
 	/**
-	 * A connection to the entry is gone.
+	 * Records that a connection to the entry was closed.
 	 * @param nowMillis the driver's monotonic time
 	 * @param address the entry's peer address
 	 */
@@ -82,7 +81,7 @@
 	}
 
 	/**
-	 * The entry said that it shuts down.
+	 * Removes an entry that announced its shutdown.
 	 * @param address the entry's peer address
 	 */
 	public void onShutdownAnnounced(String address) {
@@ -90,7 +89,7 @@
 	}
 
 	/**
-	 * The addresses to dial now; each is given once until its retry interval is over.
+	 * The addresses to dial now. Each address is returned once per retry interval.
 	 * @param nowMillis the driver's monotonic time
 	 * @return the addresses
 	 */
@@ -111,7 +110,8 @@
 	}
 
 	/**
-	 * The addresses to pass on: this entry's own and those it is connected to.
+	 * The addresses to announce to others: this entry's own address and those of
+	 * connected entries.
 	 * @return the addresses in order
 	 */
 	public List<String> addressesToAnnounce() {
--- a/core/src/main/java/org/almondmount/membership/package-info.java
+++ b/core/src/main/java/org/almondmount/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which entries there are, as one entry knows it from rows, targets and peers. No I/O.
+ * Discovery of the other entries from rows, targets and peers. No I/O.
  */
 package org.almondmount.membership;
--- a/core/src/main/java/org/almondmount/model/Adjacency.java
+++ b/core/src/main/java/org/almondmount/model/Adjacency.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * How close together the members of a gang have to be, from closest to loosest.
+ * Required proximity of the members of a gang, from closest to loosest.
  */
 public enum Adjacency {
 
@@ -18,10 +18,10 @@
 	ANY;
 
 	/**
-	 * Whether two workers are close enough to hold members of the same gang.
+	 * Whether two workers are close enough to run members of the same gang.
 	 * @param first the first worker
 	 * @param second the second worker
-	 * @return true when the pair satisfies this adjacency
+	 * @return true if the pair satisfies this adjacency
 	 */
 	public boolean isSatisfiedBy(WorkerInfo first, WorkerInfo second) {
 		return switch (this) {
--- a/core/src/main/java/org/almondmount/model/AlmondmountException.java
+++ b/core/src/main/java/org/almondmount/model/AlmondmountException.java
@@ -1,10 +1,10 @@
 package org.almondmount.model;
 
 /**
- * The root of every exception that almondmount throws on purpose.
+ * The base class of all exceptions that almondmount throws deliberately.
  * <p>
- * The message names the remedy. {@link #location()} names the place of the fault: a path
- * inside a document, a field, or a peer's address.
+ * The message states the remedy. {@link #location()} identifies the location of the
+ * fault: a path inside a document, a field, or a peer's address.
  */
 public abstract class AlmondmountException extends RuntimeException {
 
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * The place of the fault.
+	 * The location of the fault.
 	 * @return a path inside a document, a field's name or an address
 	 */
 	public String location() {
--- a/core/src/main/java/org/almondmount/model/Configuration.java
+++ b/core/src/main/java/org/almondmount/model/Configuration.java
@@ -4,12 +4,14 @@
 import java.util.TreeMap;
 
 /**
- * What operators have declared, at one revision. Immutable and thread-safe.
+ * The configuration declared by operators, at one revision. Immutable and thread-safe.
  *
- * @param revision grows by one with each accepted intent; 0 is the empty configuration
+ * @param revision incremented by one with each accepted intent; 0 is the empty
+ * configuration
  * @param customers customers by name
- * @param zones declared states; a zone that is not named is {@link ZoneState#IN}
- * @param options settings that operators may change while the system runs, by name
+ * @param zones declared states; the state of a zone without an entry is
+ * {@link ZoneState#IN}
+ * @param options settings that operators can change at run time, by name
  */
 public record Configuration(long revision, Map<CustomerId, Customer> customers, Map<ZoneId, ZoneState> zones,
 		Map<String, String> options) {
--- a/core/src/main/java/org/almondmount/model/Customer.java
+++ b/core/src/main/java/org/almondmount/model/Customer.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A customer and what it has been promised.
+ * A customer with its weight and its guarantees.
  *
  * @param id its name
- * @param weight its share beside other customers, above zero
+ * @param weight its share relative to other customers, above zero
  * @param guarantees the shapes that it can always reclaim
  */
 public record Customer(CustomerId id, double weight, List<GuaranteedShape> guarantees) {
--- a/core/src/main/java/org/almondmount/model/CustomerId.java
+++ b/core/src/main/java/org/almondmount/model/CustomerId.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * The name of a customer: whoever holds guarantees and submits work.
+ * The name of a customer, which owns guarantees and submits work.
  *
  * @param value the name
  */
--- a/core/src/main/java/org/almondmount/model/EntryId.java
+++ b/core/src/main/java/org/almondmount/model/EntryId.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * The name of one run of an entry process; a restarted entry has a new one.
+ * The name of an entry process; it changes with each restart.
  *
  * @param value the name
  */
--- a/core/src/main/java/org/almondmount/model/GangShape.java
+++ b/core/src/main/java/org/almondmount/model/GangShape.java
@@ -1,15 +1,15 @@
 package org.almondmount.model;
 
 /**
- * A gang as it is placed: equal members that run together or not at all.
+ * The shape of a gang: identical members that run together or not at all.
  *
  * @param members number of tasks, 1 to {@value #MAX_MEMBERS}
- * @param perMember what each task needs on its worker
- * @param adjacency how close the members have to be
+ * @param perMember the resources that each task needs on its worker
+ * @param adjacency the required proximity of the members
  */
 public record GangShape(int members, Resources perMember, Adjacency adjacency) {
 
-	/** The largest gang that is accepted. */
+	/** The maximum number of members of a gang. */
 	public static final int MAX_MEMBERS = 512;
 
 	public GangShape {
@@ -22,8 +22,8 @@
 		requireTotalInRange("memoryMb", perMember.memoryMb(), members);
 	}
 
-	// A sum that overflows would pass for a small or a negative amount wherever it is
-	// used.
+	// A total that overflows would be treated as a small or negative amount wherever it
+	// is used.
 	private static void requireTotalInRange(String field, int amount, int members) {
 		if ((long) amount * members > Integer.MAX_VALUE) {
 			throw new InvalidValueException(field,
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * What all members need together.
-	 * @return the sum
+	 * The total resources of all members.
+	 * @return the total
 	 */
 	public Resources total() {
 		return this.perMember.times(this.members);
--- a/core/src/main/java/org/almondmount/model/GuaranteedShape.java
+++ b/core/src/main/java/org/almondmount/model/GuaranteedShape.java
@@ -1,10 +1,10 @@
 package org.almondmount.model;
 
 /**
- * A guaranteed amount: that many gangs of one shape, all at the same time.
+ * A guarantee of a number of gangs of one shape that can run at the same time.
  *
- * @param gangs how many gangs, at least 1
- * @param shape the shape of each
+ * @param gangs the number of gangs, at least 1
+ * @param shape the shape of each gang
  */
 public record GuaranteedShape(int gangs, GangShape shape) {
 
--- a/core/src/main/java/org/almondmount/model/Identifiers.java
+++ b/core/src/main/java/org/almondmount/model/Identifiers.java
@@ -1,11 +1,11 @@
 package org.almondmount.model;
 
 /**
- * The rule that every identifier follows.
+ * Validation of identifiers.
  * <p>
- * Identifiers become parts of table keys, log lines and paths, so a separator inside one
- * could make it pass for another. Refusing everything but letters, digits, dot, dash and
- * underscore rules that out once, at the place where the identifier is made.
+ * Identifiers become parts of table keys, log lines and paths, where a separator inside
+ * an identifier could make it look like another one. Restricting identifiers to letters,
+ * digits, dot, dash and underscore when they are created rules this out everywhere.
  */
 final class Identifiers {
 
--- a/core/src/main/java/org/almondmount/model/InvalidValueException.java
+++ b/core/src/main/java/org/almondmount/model/InvalidValueException.java
@@ -1,8 +1,8 @@
 package org.almondmount.model;
 
 /**
- * A value that breaks the rule of its type; the message says which rule and what to give
- * instead.
+ * Thrown for a value that violates a constraint of its type. The message states the
+ * constraint and what to give instead.
  */
 public class InvalidValueException extends AlmondmountException {
 
--- a/core/src/main/java/org/almondmount/model/JobId.java
+++ b/core/src/main/java/org/almondmount/model/JobId.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * The identifier of a job, chosen by the entry that accepted it.
+ * The identifier of a job, assigned by the entry that accepted it.
  *
  * @param value the identifier
  */
--- a/core/src/main/java/org/almondmount/model/JobSpec.java
+++ b/core/src/main/java/org/almondmount/model/JobSpec.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * A job as its customer describes it.
+ * The specification of a job, given by its customer.
  *
  * @param customer the owner
- * @param jobClass the customer's name for jobs that resemble each other, by which run
- * times are learned
- * @param shape the gang
+ * @param jobClass the customer's name for a class of similar jobs, by which run times are
+ * estimated
+ * @param shape the shape of the gang
  * @param urgency how soon it has to start
- * @param repeatable whether it may be started again after it may have run
- * @param declaredRunTime what the customer expects, often far off
- * @param checkpointEvery the time between checkpoints; zero when it cannot checkpoint
- * @param program what the worker is asked to run, opaque to almondmount
+ * @param repeatable whether it may be started again if an earlier attempt may have run
+ * @param declaredRunTime the run time expected by the customer, often inaccurate
+ * @param checkpointEvery the time between checkpoints; zero if the job cannot checkpoint
+ * @param program the program that the worker runs, opaque to almondmount
  */
 public record JobSpec(CustomerId customer, String jobClass, GangShape shape, Urgency urgency, boolean repeatable,
 		Duration declaredRunTime, Duration checkpointEvery, String program) {
@@ -29,8 +29,9 @@
 	}
 
 	/**
-	 * Whether stopping it loses at most one checkpoint interval.
-	 * @return true if it checkpoints
+	 * Whether the job saves checkpoints, so that stopping it loses at most one checkpoint
+	 * interval.
+	 * @return true if it saves checkpoints
 	 */
 	public boolean savesCheckpoints() {
 		return !this.checkpointEvery.isZero();
--- a/core/src/main/java/org/almondmount/model/Refusal.java
+++ b/core/src/main/java/org/almondmount/model/Refusal.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * A refusal as the caller gets it.
+ * A refusal as returned to the caller.
  *
- * @param reason the kind
- * @param runState what the caller can rely on
- * @param detail what was found, in one sentence
- * @param retryAfter when to come back; zero where waiting does not help
+ * @param reason the reason
+ * @param runState whether the refused work may have run
+ * @param detail the details, in one sentence
+ * @param retryAfter the time after which to retry; zero if waiting does not help
  */
 public record Refusal(RefusalReason reason, RunState runState, String detail, Duration retryAfter) {
 
@@ -19,9 +19,9 @@
 	}
 
 	/**
-	 * A refusal of something that did not run and never will.
-	 * @param reason the kind
-	 * @param detail what was found
+	 * Creates a refusal of work that did not run and never will.
+	 * @param reason the reason
+	 * @param detail the details
 	 * @return the refusal
 	 */
 	public static Refusal notRun(RefusalReason reason, String detail) {
@@ -29,9 +29,9 @@
 	}
 
 	/**
-	 * A refusal of something that may have run.
-	 * @param reason the kind
-	 * @param detail what was found
+	 * Creates a refusal of work that may have run.
+	 * @param reason the reason
+	 * @param detail the details
 	 * @return the refusal
 	 */
 	public static Refusal mayHaveRun(RefusalReason reason, String detail) {
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * The sentence for people: what was found and the remedy.
+	 * The message for people: the details and the remedy.
 	 * @return one sentence
 	 */
 	public String message() {
--- a/core/src/main/java/org/almondmount/model/Resources.java
+++ b/core/src/main/java/org/almondmount/model/Resources.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * An amount of what a worker has.
+ * An amount of resources of a worker.
  *
  * @param accelerators whole accelerators
  * @param cores processor cores
@@ -9,7 +9,7 @@
  */
 public record Resources(int accelerators, int cores, int memoryMb) {
 
-	/** Nothing of anything. */
+	/** The empty amount. */
 	public static final Resources NONE = new Resources(0, 0, 0);
 
 	public Resources {
@@ -19,9 +19,9 @@
 	}
 
 	/**
-	 * Whether this amount fits into another.
-	 * @param capacity what is there
-	 * @return true when no dimension exceeds the room
+	 * Whether this amount fits into a capacity.
+	 * @param capacity the available capacity
+	 * @return true if no dimension exceeds the capacity
 	 */
 	public boolean fitsIn(Resources capacity) {
 		return this.accelerators <= capacity.accelerators && this.cores <= capacity.cores
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * What is left after taking another amount away.
-	 * @param other the amount taken; it has to fit in this one
-	 * @return the rest
+	 * Subtracts another amount.
+	 * @param other the amount to subtract; it has to fit into this amount
+	 * @return the remaining amount
 	 */
 	public Resources minus(Resources other) {
 		return new Resources(this.accelerators - other.accelerators, this.cores - other.cores,
--- a/core/src/main/java/org/almondmount/model/RunState.java
+++ b/core/src/main/java/org/almondmount/model/RunState.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * What a caller can rely on about work that did not end with an answer.
+ * Whether work that completed without an answer may have run.
  */
 public enum RunState {
 
@@ -18,8 +18,8 @@
 	}
 
 	/**
-	 * The word used in answers.
-	 * @return the word
+	 * The name used in answers.
+	 * @return the name
 	 */
 	public String externalName() {
 		return this.externalName;
--- a/core/src/main/java/org/almondmount/model/TargetId.java
+++ b/core/src/main/java/org/almondmount/model/TargetId.java
@@ -1,8 +1,8 @@
 package org.almondmount.model;
 
 /**
- * The name of a target: the service instance that answers requests. The target of a VM
- * carries the name of the VM's worker.
+ * The name of a target, the service instance that answers requests. The target of a VM
+ * has the same name as the VM's worker.
  *
  * @param value the name
  */
--- a/core/src/main/java/org/almondmount/model/Urgency.java
+++ b/core/src/main/java/org/almondmount/model/Urgency.java
@@ -5,10 +5,12 @@
  */
 public enum Urgency {
 
-	/** Starts within seconds inside its owner's guarantee, by preemption if needed. */
+	/**
+	 * Starts within seconds inside its customer's guarantee, by preemption if necessary.
+	 */
 	URGENT,
 
-	/** Starts in its customer's fair turn. */
+	/** Starts according to its customer's fair share. */
 	NORMAL
 
 }
--- a/core/src/main/java/org/almondmount/model/WorkerInfo.java
+++ b/core/src/main/java/org/almondmount/model/WorkerInfo.java
@@ -1,12 +1,12 @@
 package org.almondmount.model;
 
 /**
- * Where a worker stands and what it has.
+ * The location and the capacity of a worker.
  *
  * @param id its name
  * @param zone its availability zone
  * @param rack its rack
- * @param capacity everything it has, used or not
+ * @param capacity its total resources, used or not
  */
 public record WorkerInfo(WorkerId id, ZoneId zone, RackId rack, Resources capacity) {
 
--- a/core/src/main/java/org/almondmount/model/ZoneId.java
+++ b/core/src/main/java/org/almondmount/model/ZoneId.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * The name of an availability zone, as its operators write it.
+ * The name of an availability zone, as written by operators.
  *
  * @param value the name, such as {@code lulea-a}
  */
--- a/core/src/main/java/org/almondmount/model/ZoneState.java
+++ b/core/src/main/java/org/almondmount/model/ZoneState.java
@@ -1,19 +1,19 @@
 package org.almondmount.model;
 
 /**
- * Whether an availability zone is in service, as operators declared it.
+ * Whether an availability zone is in service, as declared by operators.
  */
 public enum ZoneState {
 
-	/** Work may start there. */
+	/** Work may start in the zone. */
 	IN,
 
-	/** Nothing may start there and what runs there is moved or stopped. */
+	/** No work may start in the zone, and running work is moved or stopped. */
 	OUT;
 
 	/**
 	 * Whether a task or a request may start in a zone of this state.
-	 * @return true if it may
+	 * @return true if it may start
 	 */
 	public boolean acceptsWork() {
 		return this == IN;
--- a/core/src/main/java/org/almondmount/model/package-info.java
+++ b/core/src/main/java/org/almondmount/model/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The types that every other package speaks in: identifiers, resources, guarantees and
- * refusals.
+ * Types shared by all other packages: identifiers, resources, guarantees and refusals.
  */
 package org.almondmount.model;
--- a/core/src/main/java/org/almondmount/plan/Intent.java
+++ b/core/src/main/java/org/almondmount/plan/Intent.java
@@ -7,12 +7,12 @@
 import org.almondmount.model.ZoneState;
 
 /**
- * What an operator wants to be so.
+ * A change of the configuration requested by an operator.
  */
 public sealed interface Intent {
 
 	/**
-	 * The configuration that holds once the intent is accepted, at the next revision.
+	 * Applies the intent and returns the configuration of the next revision.
 	 * @param current the configuration that it is planned against
 	 * @return the changed configuration
 	 */
--- a/core/src/main/java/org/almondmount/plan/PlanEffects.java
+++ b/core/src/main/java/org/almondmount/plan/PlanEffects.java
@@ -7,14 +7,14 @@
 import org.almondmount.model.Refusal;
 
 /**
- * What would happen if an intent were confirmed now.
+ * The effects of confirming an intent now.
  *
- * @param refusal why the intent can't be accepted at all, if so
+ * @param refusal the refusal if the intent cannot be accepted at all, otherwise empty
  * @param moves jobs that would be checkpointed and placed elsewhere
- * @param stops jobs that would be stopped without a new place for now
+ * @param stops jobs that would be stopped and not placed elsewhere for now
  * @param guaranteesAtRisk a sentence for each guaranteed shape that could not be
- * reclaimed meanwhile
- * @param remarks further sentences for the operator
+ * reclaimed in the meantime
+ * @param remarks further remarks for the operator
  */
 public record PlanEffects(Optional<Refusal> refusal, List<JobId> moves, List<JobId> stops,
 		List<String> guaranteesAtRisk, List<String> remarks) {
--- a/core/src/main/java/org/almondmount/plan/package-info.java
+++ b/core/src/main/java/org/almondmount/plan/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Operators' intents and the plans that answer them.
+ * Intents of operators and the plans computed for them.
  */
 package org.almondmount.plan;
--- a/core/src/main/java/org/almondmount/requests/RequestCommand.java
+++ b/core/src/main/java/org/almondmount/requests/RequestCommand.java
@@ -5,12 +5,12 @@
 import org.almondmount.model.TargetId;
 
 /**
- * Everything that the request router asks its driver to do.
+ * Commands from the request router to its driver.
  */
 public sealed interface RequestCommand {
 
 	/**
-	 * Claim the request's key in the table; answer with
+	 * Claim the request's idempotency key in the table; report the outcome with
 	 * {@link RequestEvent.KeyClaimEnded}.
 	 */
 	record ClaimKey(RequestId request) implements RequestCommand {
@@ -20,37 +20,38 @@
 	record Send(RequestId request, int attempt, TargetId target, long deadlineMillis) implements RequestCommand {
 	}
 
-	/** Tell the target that nobody waits for this attempt any more. */
+	/** Notify the target that the answer to this attempt is no longer needed. */
 	record CancelAttempt(RequestId request, int attempt, TargetId target) implements RequestCommand {
 	}
 
 	/**
-	 * Pass the attempt's whole answer to the caller; record it first if there is a key.
+	 * Return the attempt's complete answer to the caller; if the request has a key,
+	 * record the answer first.
 	 */
 	record Deliver(RequestId request, int attempt) implements RequestCommand {
 	}
 
-	/** Pass the recorded answer of the key's first request to the caller. */
+	/** Return the recorded answer of the first request with this key to the caller. */
 	record DeliverRecorded(RequestId request) implements RequestCommand {
 	}
 
-	/** End the request with a refusal, at once. */
+	/** Refuse the request immediately. */
 	record Refuse(RequestId request, Refusal refusal) implements RequestCommand {
 	}
 
-	/** The key's claim can be released: the request did not run and never will. */
+	/** Release the claim on the key: the request did not run and never will. */
 	record ReleaseKey(RequestId request) implements RequestCommand {
 	}
 
-	/** Count a retry and its reason. */
+	/** Count a retry by its reason. */
 	record CountRetry(RetryReason reason) implements RequestCommand {
 	}
 
-	/** Send {@link RequestEvent.Tick} at this time at the latest. */
+	/** Send {@link RequestEvent.Tick} no later than the given time. */
 	record WakeAt(long atMillis) implements RequestCommand {
 	}
 
-	/** Something that an operator should be able to read, such as an ejected target. */
+	/** Log a decision for operators, such as the ejection of a target. */
 	record LogDecision(String subject, String message) implements RequestCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/requests/RequestEvent.java
+++ b/core/src/main/java/org/almondmount/requests/RequestEvent.java
@@ -9,103 +9,114 @@
 import org.almondmount.model.ZoneId;
 
 /**
- * Everything that the request router is told. Bodies stay with the driver; the router
- * knows identifiers and sizes.
+ * Events that the request router handles. The driver keeps the bodies; the router handles
+ * identifiers and sizes only.
  */
 public sealed interface RequestEvent {
 
-	/** A caller's request was read whole. The deadline is in the driver's time. */
+	/**
+	 * A caller's request was received completely. The deadline refers to the driver's
+	 * clock.
+	 */
 	record Arrived(RequestId request, CustomerId customer, boolean idempotent, Optional<String> key,
 			long deadlineMillis) implements RequestEvent {
 	}
 
-	/** The caller closed its connection; nobody waits for the answer any more. */
+	/** The caller closed its connection and no longer waits for the answer. */
 	record CallerGone(RequestId request) implements RequestEvent {
 	}
 
-	/** A target announced itself with the slots that it lends to this entry. */
+	/**
+	 * A target connected and announced the number of slots that it lends to this entry.
+	 */
 	record TargetJoined(TargetId target, ZoneId zone, int slots) implements RequestEvent {
 	}
 
-	/** The slots that the target lends to this entry from now on. */
+	/** The number of slots that the target lends to this entry has changed. */
 	record TargetSlotsChanged(TargetId target, int slots) implements RequestEvent {
 	}
 
-	/** The target takes no new work. */
+	/** The target accepts no new requests. */
 	record TargetDraining(TargetId target) implements RequestEvent {
 	}
 
 	/**
-	 * The connection to the target is gone or silent; nothing more will be heard on it.
+	 * The connection to the target is closed or timed out; no further message will arrive
+	 * on it.
 	 */
 	record TargetLost(TargetId target) implements RequestEvent {
 	}
 
-	/** The target's instance gave a whole answer. */
+	/** The target's instance returned a complete answer. */
 	record Answered(RequestId request, int attempt, TargetId target, AnswerKind kind) implements RequestEvent {
 	}
 
-	/** The target did not start it and never will. */
+	/** The target did not start the attempt and never will. */
 	record NotStarted(RequestId request, int attempt, TargetId target, String reason) implements RequestEvent {
 	}
 
-	/** The target sent it to its instance and can't tell how it ended. */
+	/** The target passed the attempt to its instance and does not know the outcome. */
 	record Broken(RequestId request, int attempt, TargetId target, String reason) implements RequestEvent {
 	}
 
-	/** Nothing was sent: the connection's ring was full or closed. */
+	/**
+	 * The attempt was not sent because the connection's ring buffer was full or closed.
+	 */
 	record NotSent(RequestId request, int attempt, TargetId target) implements RequestEvent {
 	}
 
-	/** What the table said about the key of a request. */
+	/** The claim on a request's key has completed. */
 	record KeyClaimEnded(RequestId request, KeyClaimOutcome outcome) implements RequestEvent {
 	}
 
-	/** The accepted configuration, whole. */
+	/** The complete accepted configuration. */
 	record ConfigurationChanged(Configuration configuration) implements RequestEvent {
 	}
 
-	/** The moment asked for by {@link RequestCommand.WakeAt}, or any regular tick. */
+	/** The time requested by {@link RequestCommand.WakeAt}, or a regular tick. */
 	record Tick() implements RequestEvent {
 	}
 
-	/** The process shuts down: refuse what arrives, finish what is there. */
+	/**
+	 * The process shuts down: new requests are refused, accepted requests are finished.
+	 */
 	record Draining() implements RequestEvent {
 	}
 
 	/**
-	 * What a whole answer says about the target's health.
+	 * What a complete answer indicates about the target's health.
 	 */
 	enum AnswerKind {
 
-		/** The instance did its work, whatever it told the caller. */
+		/** The instance processed the request, whatever the content of its answer. */
 		HEALTHY,
 
-		/** The instance says that it failed. */
+		/** The instance reported a failure. */
 		ERROR
 
 	}
 
 	/**
-	 * What the table said about a key.
+	 * The outcome of a claim on an idempotency key.
 	 */
 	enum KeyClaimOutcome {
 
-		/** The key is this request's: send it. */
+		/** This request holds the key and can be sent. */
 		CLAIMED,
 
 		/**
-		 * Another request holds the key, and its outcome is recorded: the driver has it.
+		 * Another request held the key and its answer is recorded; the driver has read
+		 * it.
 		 */
 		ANSWERED_BEFORE,
 
-		/** Another request holds the key, and its ending is not known. */
+		/** Another request holds the key and its outcome is not known. */
 		HELD_BY_OTHER,
 
-		/** The key was used for different content. */
+		/** The key was used for a request with different content. */
 		DIFFERENT_CONTENT,
 
-		/** The table is away: the claim was certainly not made. */
+		/** The table is unavailable and the claim was certainly not made. */
 		STORE_AWAY,
 
 		/** The claim may or may not have been made; nothing was sent. */
--- a/core/src/main/java/org/almondmount/requests/RequestPolicy.java
+++ b/core/src/main/java/org/almondmount/requests/RequestPolicy.java
@@ -6,32 +6,31 @@
 import org.almondmount.model.ZoneId;
 
 /**
- * The options of the request router. Immutable; changed by its with-methods.
+ * Options of the request router. Immutable; the {@code with} methods return changed
+ * copies.
  *
  * @param ownZone the entry's availability zone, whose targets are preferred; empty for no
  * preference
- * @param queueLimit requests of all customers that may wait, at least 1
- * @param minQueuePerCustomer places that each customer has whatever its weight
- * @param maxCustomerShare the share of all slots that one customer may hold while more
- * than one is configured, above 0 up to 1
- * @param maxAttempts attempts at one request, at least 1
- * @param retryRatio retries allowed for each first attempt
- * @param retryReserve retries allowed before any first attempt, and the most that are
- * saved up
- * @param noTargetTimeout how long a request waits while no target may take it
- * @param busyRetryAfter the time to come back that a refusal names when nothing better is
- * known
- * @param hedgeAfter when a slow idempotent attempt is made a second time elsewhere; empty
- * for never
- * @param cancelGrace how long after its deadline an attempt still counts as a slot in use
- * while its target says nothing
- * @param targets how targets are chosen and ejected
+ * @param queueLimit maximum number of waiting requests over all customers, at least 1
+ * @param minQueuePerCustomer minimum queue limit of a customer, regardless of its weight
+ * @param maxCustomerShare maximum share of all slots that one customer may use while more
+ * than one customer is configured, above 0 up to 1
+ * @param maxAttempts maximum number of attempts for a request, at least 1
+ * @param retryRatio retries allowed per first attempt
+ * @param retryReserve initial and maximum balance of the retry budget
+ * @param noTargetTimeout how long a request waits while no target can serve it
+ * @param busyRetryAfter default retry-after time of refusals
+ * @param hedgeAfter delay after which a slow idempotent request is sent to a second
+ * target; empty to disable hedging
+ * @param cancelGrace how long after the deadline an unanswered attempt still occupies a
+ * slot of its target
+ * @param targets options for slow start and ejection of targets
  */
 public record RequestPolicy(Optional<ZoneId> ownZone, int queueLimit, int minQueuePerCustomer, double maxCustomerShare,
 		int maxAttempts, double retryRatio, int retryReserve, Duration noTargetTimeout, Duration busyRetryAfter,
 		Optional<Duration> hedgeAfter, Duration cancelGrace, TargetPolicy targets) {
 
-	/** The options that hold where nothing else is said. */
+	/** The default options. */
 	public static final RequestPolicy DEFAULT = new RequestPolicy(Optional.empty(), 1_024, 8, 0.8, 3, 0.2, 10,
 			Duration.ofSeconds(1), Duration.ofSeconds(1), Optional.empty(), Duration.ofSeconds(5),
 			TargetPolicy.DEFAULT);
--- a/core/src/main/java/org/almondmount/requests/RequestRouter.java
+++ b/core/src/main/java/org/almondmount/requests/RequestRouter.java
@@ -5,29 +5,29 @@
 import org.almondmount.model.RequestId;
 
 /**
- * The entrance to the request decisions, stable for outside drivers. Deterministic; not
- * thread-safe: one duty owns it.
+ * Decides about admission, routing and retries of requests. Stable API for drivers
+ * outside this module. Deterministic; not thread-safe: it is owned by a single duty.
  */
 public interface RequestRouter {
 
 	/**
-	 * Takes one event.
+	 * Handles an event.
 	 * @param nowMillis the driver's monotonic time in milliseconds
 	 * @param event what happened
-	 * @return what is to be done, in order
+	 * @return the commands to execute, in order
 	 */
 	List<RequestCommand> handle(long nowMillis, RequestEvent event);
 
 	/**
-	 * Requests that have not yet had their ending.
-	 * @return a count
+	 * Number of requests that have not completed yet.
+	 * @return the number of requests
 	 */
 	int outstandingCount();
 
 	/**
-	 * Why the request stands where it does or ended as it did, newest last.
+	 * Explains the current state or the outcome of a request, oldest entry first.
 	 * @param request its identifier
-	 * @return the sentences
+	 * @return the explanations
 	 */
 	List<String> explain(RequestId request);
 
--- a/core/src/main/java/org/almondmount/requests/RequestRouterFactory.java
+++ b/core/src/main/java/org/almondmount/requests/RequestRouterFactory.java
@@ -5,7 +5,7 @@
 import org.almondmount.requests.impl.DefaultRequestRouter;
 
 /**
- * Makes request routers.
+ * Creates request routers.
  */
 public final class RequestRouterFactory {
 
@@ -13,9 +13,10 @@
 	}
 
 	/**
-	 * Makes a router that knows no configuration and no target yet.
+	 * Creates a router without a configuration and without targets.
 	 * @param policy its options
-	 * @param random a seeded source; the same seed and events give the same commands
+	 * @param random a seeded source; the same seed and the same events produce the same
+	 * commands
 	 * @return the router
 	 */
 	public static RequestRouter create(RequestPolicy policy, RandomGenerator random) {
--- a/core/src/main/java/org/almondmount/requests/TargetPolicy.java
+++ b/core/src/main/java/org/almondmount/requests/TargetPolicy.java
@@ -3,24 +3,28 @@
 import java.time.Duration;
 
 /**
- * How targets are eased in, ejected and tried again. Immutable.
+ * Options for slow start, ejection and probing of targets. Immutable.
  *
- * @param slowStart time over which a fresh target's slots are opened
- * @param slowStartShare the share of its slots that is open at once, above 0 up to 1
- * @param consecutiveErrorsToEject errors in a row after which a target is ejected
- * @param stallTimeout silence of a target with attempts in flight after which it is
- * ejected, unless its usual time is longer
- * @param stallFactor how many times its usual time an attempt may take before it counts
- * as stalled
- * @param baseEjectionTime the first ejection; each further one in a row doubles it
- * @param maxEjectionTime the longest ejection
- * @param maxEjectedShare the share of targets that may be ejected at the same time
+ * @param slowStart time over which the usable slots of a new target are increased to all
+ * of its slots
+ * @param slowStartShare share of the slots that a new target can use initially, above 0
+ * up to 1
+ * @param consecutiveErrorsToEject number of consecutive errors after which a target is
+ * ejected
+ * @param stallTimeout time without a message after which a target with attempts in flight
+ * is ejected, unless the estimated time of these attempts is longer
+ * @param stallFactor factor by which an attempt may exceed its estimated time before it
+ * counts as stalled
+ * @param baseEjectionTime duration of the first ejection; doubled by each consecutive
+ * ejection
+ * @param maxEjectionTime maximum duration of an ejection
+ * @param maxEjectedShare maximum share of targets that are ejected at the same time
  */
 public record TargetPolicy(Duration slowStart, double slowStartShare, int consecutiveErrorsToEject,
 		Duration stallTimeout, double stallFactor, Duration baseEjectionTime, Duration maxEjectionTime,
 		double maxEjectedShare) {
 
-	/** The options that hold where nothing else is said. */
+	/** The default options. */
 	public static final TargetPolicy DEFAULT = new TargetPolicy(Duration.ofSeconds(5), 0.25, 5, Duration.ofSeconds(1),
 			8, Duration.ofSeconds(5), Duration.ofSeconds(60), 0.34);
 
--- a/core/src/main/java/org/almondmount/requests/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Admission.java
@@ -11,7 +11,7 @@
 import org.almondmount.requests.RequestPolicy;
 
 /**
- * Decides whether an arriving request may wait. Not thread-safe.
+ * Decides whether an arriving request is queued or refused. Not thread-safe.
  */
 final class Admission {
 
@@ -34,14 +34,15 @@
 	}
 
 	/**
-	 * Looks for a reason to refuse a request on arrival.
+	 * Checks whether a request has to be refused on arrival.
 	 * @param now the time
 	 * @param configuration the accepted configuration
 	 * @param customer its customer
 	 * @param deadline its deadline
-	 * @param pendingClaims requests whose keys are being claimed, which need a place too
-	 * @param slots all slots that serve
-	 * @return a refusal, or empty if it may wait
+	 * @param pendingClaims number of requests whose keys are being claimed; they need a
+	 * queue place too
+	 * @param slots the number of usable slots of all targets
+	 * @return a refusal, or empty if the request may be queued
 	 */
 	Optional<Refusal> check(long now, Configuration configuration, CustomerId customer, long deadline,
 			int pendingClaims, int slots) {
@@ -72,9 +73,9 @@
 	}
 
 	/**
-	 * The time to come back after a refusal for load.
+	 * The retry-after time of a refusal due to load.
 	 * @param waitMillis the expected wait in milliseconds
-	 * @return a time within sensible bounds
+	 * @return the wait, limited to the minimum and maximum retry-after time
 	 */
 	Duration retryAfter(double waitMillis) {
 		long minMillis = this.policy.busyRetryAfter().toMillis();
@@ -82,10 +83,10 @@
 	}
 
 	/**
-	 * Slots that one customer may hold at the same time.
+	 * Maximum number of slots that one customer may use at the same time.
 	 * @param configuration the accepted configuration
-	 * @param slots all slots that serve
-	 * @return a count, at least 1
+	 * @param slots the number of usable slots of all targets
+	 * @return the number of slots, at least 1
 	 */
 	int maxInFlight(Configuration configuration, int slots) {
 		if (configuration.customers().size() < 2) {
@@ -94,8 +95,8 @@
 		return Math.max(1, (int) Math.floor(slots * this.policy.maxCustomerShare()));
 	}
 
-	// The shares of all customers add up to the whole queue, so that a customer within
-	// its share finds room whatever the others do.
+	// The shares of all customers add up to the whole queue, so a customer within its
+	// share finds a place regardless of the others.
 	private int maxWaiting(Configuration configuration, CustomerId customer) {
 		double totalWeight = configuration.customers().containsKey(customer) ? 0 : UNKNOWN_CUSTOMER_WEIGHT;
 		for (Customer known : configuration.customers().values()) {
--- a/core/src/main/java/org/almondmount/requests/impl/DefaultRequestRouter.java
+++ b/core/src/main/java/org/almondmount/requests/impl/DefaultRequestRouter.java
@@ -18,11 +18,12 @@
 import org.almondmount.requests.RetryReason;
 
 /**
- * The request router. Deterministic; not thread-safe.
+ * Default implementation of the request router. Deterministic; not thread-safe.
  * <p>
- * Each request is in exactly one phase: its key is being claimed, it waits, or it has
- * open attempts. It leaves with exactly one ending: an answer or a refusal. Attempts that
- * nobody waits for still hold their target's slot until the target speaks of them.
+ * Each request is in exactly one phase: its key is being claimed, it is queued, or it has
+ * open attempts. It completes exactly once, with an answer or a refusal. An attempt whose
+ * result is no longer needed still occupies a slot of its target until the target reports
+ * its end.
  */
 public final class DefaultRequestRouter implements RequestRouter {
 
@@ -164,8 +165,8 @@
 			return;
 		}
 		request.markCallerGone();
-		// A repeat with the same key will ask how this one ended, so its answer is still
-		// wanted.
+		// A repeated request with the same key needs the outcome of this one, so the
+		// answer is still recorded.
 		if (request.key().isPresent() && request.runState() == RunState.MAY_HAVE_RUN) {
 			this.state.explanationLog().add(id, "the caller closed its connection; the answer is kept for its key");
 			return;
@@ -243,8 +244,8 @@
 				"the connection to target " + event.target() + " took nothing");
 	}
 
-	// Frees the slot in any case; gives the request only if this attempt is still open,
-	// so that late, crossed and duplicated messages change nothing.
+	// Releases the slot in any case. Returns the request only if this attempt is still
+	// open, so that late, reordered and duplicated messages have no effect on it.
 	private RequestRecord releaseSlotAndFindOpenRequest(long now, RequestId id, int attempt, TargetId targetId,
 			boolean representative) {
 		TargetRecord target = this.state.targets().get(targetId);
--- a/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
@@ -13,7 +13,7 @@
 import org.almondmount.requests.RetryReason;
 
 /**
- * Sends waiting requests to targets. Not thread-safe.
+ * Sends queued requests to targets. Not thread-safe.
  */
 final class Dispatcher {
 
@@ -34,8 +34,8 @@
 	}
 
 	/**
-	 * When waiting requests have to be refused because no target may take them.
-	 * @return a time, or {@code Long.MAX_VALUE}
+	 * The time at which queued requests are refused because no target can serve them.
+	 * @return the time, or {@code Long.MAX_VALUE} while there is a target
 	 */
 	long noTargetDeadline() {
 		if (this.noTargetSince == Long.MAX_VALUE) {
@@ -44,7 +44,7 @@
 		return this.noTargetSince + this.state.policy().noTargetTimeout().toMillis();
 	}
 
-	// Sends what can be sent.
+	// Sends as many queued requests as the free slots allow.
 	void dispatchWaiting(long now) {
 		Configuration configuration = this.state.configuration();
 		if (configuration == null || this.state.queue().size() == 0) {
@@ -61,9 +61,11 @@
 	}
 
 	/**
-	 * Why a request that arrives now would wait in vain.
+	 * Checks whether a request that arrives now has to be refused because there is no
+	 * target.
 	 * @param now the time
-	 * @return a refusal if no target has been there for the whole wait
+	 * @return a refusal if there has been no target for the whole timeout, otherwise
+	 * empty
 	 */
 	Optional<Refusal> noTargetRefusal(long now) {
 		if (this.state.targets().anyMayServe(this.state.configuration())) {
@@ -73,11 +75,11 @@
 	}
 
 	/**
-	 * Puts a request back to be tried elsewhere, if it may be.
+	 * Queues a request again for another target if a retry is permitted.
 	 * @param now the time
 	 * @param request the request
-	 * @param reason why
-	 * @return false when attempts, time, targets or the budget are used up
+	 * @param reason the reason for the retry
+	 * @return false if attempts, time, targets or the retry budget are exhausted
 	 */
 	boolean retry(long now, RequestRecord request, RetryReason reason) {
 		if (!mayRetry(now, request)) {
@@ -91,7 +93,7 @@
 	}
 
 	/**
-	 * Whether the last retry was denied for the budget alone.
+	 * Whether the last retry was denied only because the retry budget is exhausted.
 	 * @return true if it was
 	 */
 	boolean budgetExhausted() {
@@ -99,7 +101,7 @@
 	}
 
 	/**
-	 * Makes a second attempt at slow idempotent requests, if that is on.
+	 * Sends slow idempotent requests to a second target if hedging is enabled.
 	 * @param now the time
 	 */
 	void hedge(long now) {
--- a/core/src/main/java/org/almondmount/requests/impl/ExplanationLog.java
+++ b/core/src/main/java/org/almondmount/requests/impl/ExplanationLog.java
@@ -8,7 +8,7 @@
 import org.almondmount.model.RequestId;
 
 /**
- * What was done about the latest requests, in sentences. Bounded; not thread-safe.
+ * Explanations of the decisions about the most recent requests. Bounded; not thread-safe.
  */
 final class ExplanationLog {
 
--- a/core/src/main/java/org/almondmount/requests/impl/FairQueue.java
+++ b/core/src/main/java/org/almondmount/requests/impl/FairQueue.java
@@ -11,12 +11,13 @@
 import org.almondmount.model.CustomerId;
 
 /**
- * Queues of the customers, served in proportion to their weights by the slot time that
- * they use. Not thread-safe.
+ * Weighted fair queue: the customers' queues are served in proportion to their weights,
+ * by the slot time that they use. Not thread-safe.
  * <p>
- * Counting requests would let a customer with slow requests take most of the slots. So
- * each customer's virtual time advances by slot time over weight: by its usual time when
- * a request is sent, corrected by the real one when it ends.
+ * Fairness by request count would let a customer with slow requests use most of the
+ * slots. Each customer's virtual time therefore advances by slot time divided by weight:
+ * by the estimated slot time when a request is sent, corrected to the actual time when
+ * the attempt ends.
  */
 final class FairQueue {
 
@@ -80,7 +81,7 @@
 	}
 
 	/**
-	 * The waiting customers, the one that is owed most first.
+	 * The customers with waiting requests, lowest virtual time first.
 	 * @return a copy
 	 */
 	List<CustomerId> customersByVirtualTime() {
@@ -96,7 +97,7 @@
 	}
 
 	/**
-	 * The requests of one customer that wait, oldest first.
+	 * The waiting requests of a customer, oldest first.
 	 * @param customer the customer
 	 * @return a copy
 	 */
@@ -117,7 +118,7 @@
 		return requests;
 	}
 
-	// Takes the request out and charges its customer for the usual slot time.
+	// Removes the request and charges its customer the estimated slot time.
 	void removeAndCharge(RequestRecord request) {
 		remove(request);
 		chargeEstimate(request.customer());
@@ -131,11 +132,11 @@
 	}
 
 	/**
-	 * An attempt left its slot.
+	 * Corrects the charge when an attempt has released its slot.
 	 * @param customer its customer
-	 * @param actualMillis the time that it really took
-	 * @param representative whether that time says something about the customer's
-	 * requests
+	 * @param actualMillis the actual slot time
+	 * @param representative whether the time is representative of the customer's requests
+	 * and updates the estimate
 	 */
 	void onAttemptEnded(CustomerId customer, double actualMillis, boolean representative) {
 		CustomerQueue queue = customerQueue(customer);
@@ -156,7 +157,8 @@
 			queue = new CustomerQueue();
 			this.customerQueues.put(customer, queue);
 		}
-		// A customer that was away must not save up turns and then shut the others out.
+		// An idle customer must not accumulate credit with which it would then starve the
+		// others.
 		if (queue.waiting.isEmpty() && queue.inFlightCount == 0) {
 			queue.virtualTime = Math.max(queue.virtualTime, this.virtualTime);
 		}
--- a/core/src/main/java/org/almondmount/requests/impl/RequestCompletion.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RequestCompletion.java
@@ -14,8 +14,8 @@
 import org.almondmount.requests.RequestEvent.KeyClaimOutcome;
 
 /**
- * Ends requests: each exactly once, with what is true of all its attempts. Not
- * thread-safe.
+ * Completes each request exactly once, with an outcome that is accurate for all of its
+ * attempts. Not thread-safe.
  */
 final class RequestCompletion {
 
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * Requests whose keys are being claimed.
-	 * @return a count
+	 * Number of requests whose keys are being claimed.
+	 * @return the number of requests
 	 */
 	int pendingClaimCount() {
 		return this.pendingClaimCount;
@@ -50,8 +50,9 @@
 		this.pendingClaimCount--;
 	}
 
-	// The request was refused while its claim was on the way. A claim that is made after
-	// all would answer every repeat with "in use".
+	// The request was refused while its claim was in progress. If the claim still
+	// succeeds and is not released, every repetition of the request is refused because
+	// the key is in use.
 	void onLateClaimOutcome(RequestId request, KeyClaimOutcome outcome) {
 		boolean mayHold = outcome == KeyClaimOutcome.CLAIMED || outcome == KeyClaimOutcome.UNKNOWN;
 		if (this.abandonedClaims.remove(request) && mayHold) {
@@ -70,10 +71,10 @@
 	}
 
 	/**
-	 * Refuses a request with what is true of its attempts.
+	 * Refuses a request and reports whether any of its attempts may have run.
 	 * @param request the request
-	 * @param reason why
-	 * @param detail what was found
+	 * @param reason the reason
+	 * @param detail the details for the caller
 	 */
 	void refuse(RequestRecord request, RefusalReason reason, String detail) {
 		boolean isRetryUseful = reason != RefusalReason.TARGET_LOST && reason != RefusalReason.BAD_ANSWER
@@ -91,7 +92,7 @@
 	}
 
 	/**
-	 * Refuses a request that never was taken in.
+	 * Refuses a request that was never admitted.
 	 * @param request the request
 	 * @param refusal the refusal
 	 */
@@ -102,7 +103,7 @@
 		this.state.addCommand(new RequestCommand.Refuse(request, refusal));
 	}
 
-	// Takes the request out of every table and tells targets that nobody waits any more.
+	// Removes the request from all tables and cancels its open attempts at their targets.
 	private void complete(RequestRecord request) {
 		this.state.requests().remove(request.id());
 		if (request.phase() == RequestRecord.Phase.QUEUED) {
@@ -117,7 +118,8 @@
 		}
 	}
 
-	// A driver may clear up after ended requests by itself and then never tell.
+	// Bounds the set: a driver may release the claims of completed requests itself and
+	// never report their outcome.
 	private void abandonClaim(RequestId request) {
 		this.abandonedClaims.add(request);
 		if (this.abandonedClaims.size() > MAX_ABANDONED_CLAIMS) {
--- a/core/src/main/java/org/almondmount/requests/impl/RequestRecord.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RequestRecord.java
@@ -13,7 +13,7 @@
 import org.almondmount.requests.RequestEvent;
 
 /**
- * One request until its ending. Not thread-safe.
+ * State of a request until it completes. Not thread-safe.
  */
 final class RequestRecord {
 
@@ -99,7 +99,7 @@
 	}
 
 	/**
-	 * The attempts that may still be answered, with their targets.
+	 * The targets of the attempts that may still be answered, by attempt number.
 	 * @return a live view
 	 */
 	Map<Integer, TargetId> openAttempts() {
@@ -123,34 +123,34 @@
 		return target.equals(this.openAttempts.get(attempt));
 	}
 
-	// The attempt certainly never ran.
+	// Closes an attempt that certainly never ran.
 	void closeNotRun(int attempt) {
 		this.openAttempts.remove(attempt);
 	}
 
-	// The attempt may have run and will not be heard of again.
+	// Closes an attempt that may have run and whose result is no longer expected.
 	void closeMayHaveRun(int attempt) {
 		this.openAttempts.remove(attempt);
 		this.mayHaveRun = true;
 	}
 
 	/**
-	 * What the caller can rely on if the request ended now without an answer.
-	 * @return not-run only if no attempt can have run
+	 * The run state to report if the request completed now without an answer.
+	 * @return {@code NOT_RUN} only if no attempt can have run
 	 */
 	RunState runState() {
 		return (this.mayHaveRun || !this.openAttempts.isEmpty()) ? RunState.MAY_HAVE_RUN : RunState.NOT_RUN;
 	}
 
 	/**
-	 * Where a request stands.
+	 * Phases of a request.
 	 */
 	enum Phase {
 
-		/** Its key is being claimed. */
+		/** The idempotency key is being claimed. */
 		CLAIMING,
 
-		/** It waits for a slot. */
+		/** The request waits for a slot. */
 		QUEUED,
 
 		/** At least one attempt is open. */
--- a/core/src/main/java/org/almondmount/requests/impl/RetryBudget.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RetryBudget.java
@@ -3,9 +3,10 @@
 /**
  * Allows retries in proportion to first attempts. Not thread-safe.
  * <p>
- * Without it an outage multiplies the load: each failing request comes back as several,
- * and the targets that still work drown. Since every retry spends what only first
- * attempts earn, retries stay under the ratio plus the reserve whatever fails.
+ * Without a budget an outage multiplies the load, because each failing request is
+ * repeated several times and overloads the remaining targets. Every retry withdraws a
+ * token and only first attempts deposit them, so retries never exceed the ratio plus the
+ * reserve.
  */
 final class RetryBudget {
 
--- a/core/src/main/java/org/almondmount/requests/impl/RouterState.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RouterState.java
@@ -13,7 +13,7 @@
 import org.almondmount.requests.RequestPolicy;
 
 /**
- * What the parts of the router share. Not thread-safe.
+ * State shared by the components of the router. Not thread-safe.
  */
 final class RouterState {
 
@@ -66,14 +66,14 @@
 
 	/**
 	 * The accepted configuration.
-	 * @return it, or null before the first
+	 * @return the configuration, or {@code null} before the first one
 	 */
 	Configuration configuration() {
 		return this.configuration;
 	}
 
-	// A holder of an old configuration may still be heard; going back would put a zone in
-	// service again that operators took out.
+	// A process with an outdated configuration may still send it. Accepting a lower
+	// revision could put a zone back in service that operators took out.
 	void acceptConfiguration(Configuration offered) {
 		if (this.configuration == null || offered.revision() >= this.configuration.revision()) {
 			this.configuration = offered;
--- a/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
@@ -7,11 +7,11 @@
 import org.almondmount.requests.RequestEvent.AnswerKind;
 
 /**
- * Ejects targets that err or stall, and says so. Not thread-safe.
+ * Ejects targets that fail or stall and logs these decisions. Not thread-safe.
  * <p>
- * A target that fails fast looks idle and draws all requests to it. Taking it out for a
- * while ends that; the cap on the share that is out at the same time keeps a fault that
- * is common to all from taking all out.
+ * A target that fails fast appears idle and attracts all requests, so it is ejected for a
+ * limited time. The cap on the share of ejected targets prevents a fault that all targets
+ * have in common from ejecting all of them.
  */
 final class TargetHealth {
 
@@ -36,10 +36,10 @@
 		target.recordSuccess();
 	}
 
-	// A target whose instance stands still refuses at once, so that it always has a free
-	// slot here and draws more requests than any other: each of them costs a retry, and
-	// the retry budget runs out for everybody. Slots are lent, so that a healthy target
-	// hardly ever refuses; several refusals in a row are as good a sign as errors.
+	// A target whose instance has stalled refuses immediately, so it always has a free
+	// slot here and attracts more requests than any other. Each of them costs a retry,
+	// which exhausts the retry budget for all customers. Since slots are lent, a healthy
+	// target rarely refuses; consecutive refusals therefore count as errors.
 	void onRefused(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
@@ -55,8 +55,7 @@
 	}
 
 	/**
-	 * Looks for targets that answer nothing, and frees slots of attempts about which
-	 * nothing will be heard.
+	 * Ejects unresponsive targets and releases the slots of expired attempts.
 	 * @param now the time
 	 */
 	void sweep(long now) {
--- a/core/src/main/java/org/almondmount/requests/impl/TargetRecord.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetRecord.java
@@ -11,7 +11,7 @@
 import org.almondmount.requests.TargetPolicy;
 
 /**
- * One target as this entry sees it. Not thread-safe.
+ * State of a target at this entry. Not thread-safe.
  */
 final class TargetRecord {
 
@@ -92,7 +92,8 @@
 	}
 
 	/**
-	 * The connection takes nothing right now; the next word from the target reopens it.
+	 * Marks the connection as unable to accept messages until the next message from the
+	 * target or the next sweep.
 	 */
 	void markConnectionFull() {
 		this.connectionFull = true;
@@ -130,9 +131,10 @@
 	}
 
 	/**
-	 * Whether an operator may be told again that it would be ejected but for the cap.
+	 * Whether to log again that only the cap on ejected targets prevents the ejection of
+	 * this one.
 	 * @param now the time
-	 * @return true once in the time of a first ejection
+	 * @return true at most once per base ejection time
 	 */
 	boolean shouldLogCapWarning(long now) {
 		if (now - this.lastCapWarningAt < this.policy.baseEjectionTime().toMillis()) {
@@ -143,11 +145,11 @@
 	}
 
 	/**
-	 * Frees the slot of an attempt.
+	 * Releases the slot of an attempt.
 	 * @param now the time
 	 * @param request the request
 	 * @param attempt the attempt
-	 * @return the attempt, or null if it holds no slot here
+	 * @return the attempt, or {@code null} if it occupies no slot of this target
 	 */
 	InFlightAttempt releaseSlot(long now, RequestId request, int attempt) {
 		this.lastContactAt = now;
@@ -179,9 +181,10 @@
 	}
 
 	/**
-	 * Whether it went silent: one long request is no sign, so all have to be overdue.
+	 * Whether the target is unresponsive. All attempts have to be overdue, since a single
+	 * long request does not indicate a fault.
 	 * @param now the time
-	 * @return true if it should be ejected
+	 * @return true if the target should be ejected
 	 */
 	boolean isStalled(long now) {
 		if (this.inFlightAttempts.isEmpty() || now - this.lastContactAt <= this.policy.stallTimeout().toMillis()) {
@@ -206,8 +209,9 @@
 		return ejectionMillis;
 	}
 
-	// A fresh instance that gets its full share at once answers its first requests slowly
-	// and is then taken for a stalled one; a target on trial gets one request at a time.
+	// A new instance under full load answers its first requests slowly and would be
+	// ejected as stalled, so its slots are opened gradually. A target that is probed
+	// after an ejection gets one request at a time.
 	private int usableSlots(long now) {
 		if (this.probing) {
 			return Math.min(1, this.slots);
--- a/core/src/main/java/org/almondmount/requests/impl/TargetTable.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetTable.java
@@ -15,7 +15,7 @@
 import org.almondmount.requests.RequestPolicy;
 
 /**
- * The targets and the choice among them. Not thread-safe.
+ * Holds the targets and selects among them. Not thread-safe.
  */
 final class TargetTable {
 
@@ -53,10 +53,10 @@
 	}
 
 	/**
-	 * Whether the target may get new work at all, now or when a slot is free.
+	 * Whether the target can be sent new requests, now or as soon as a slot is free.
 	 * @param configuration the accepted configuration
 	 * @param target the target
-	 * @return true if it may
+	 * @return true if it can
 	 */
 	boolean mayServe(Configuration configuration, TargetRecord target) {
 		return target.slots() > 0 && mayServeOnceSlotsAreLent(configuration, target);
@@ -76,13 +76,14 @@
 	}
 
 	/**
-	 * Whether a target is left that was not tried. One that has just joined counts though
-	 * it has lent no slots yet: it lends them once other entries have given them back,
-	 * some milliseconds later. During a rolling restart it may be the only one, and a
-	 * request that the leaving one did not start would be refused beside it.
+	 * Whether there is a target that was not tried. A target that has just joined counts
+	 * even if it has not lent any slots yet: it lends them some milliseconds later, when
+	 * other entries have returned them. During a rolling restart it may be the only
+	 * target, and a request that the draining target did not start would otherwise be
+	 * refused.
 	 * @param now the time
 	 * @param configuration the accepted configuration
-	 * @param triedTargets targets to leave out
+	 * @param triedTargets the targets to exclude
 	 * @return true if there is one
 	 */
 	boolean anyUntried(long now, Configuration configuration, Set<TargetId> triedTargets) {
@@ -98,9 +99,10 @@
 	}
 
 	/**
-	 * Whether targets are there that only their zone's state keeps from serving.
+	 * Whether there are targets that cannot serve only because their zone is out of
+	 * service.
 	 * @param configuration the accepted configuration
-	 * @return true if a zone that is out is the reason
+	 * @return true if there is such a target
 	 */
 	boolean anyExcludedByZoneState(Configuration configuration) {
 		for (TargetRecord target : this.targets.values()) {
@@ -131,12 +133,12 @@
 	}
 
 	/**
-	 * Chooses a target with a free slot: the less loaded of two taken at random, in the
-	 * entry's own zone if there is one.
+	 * Selects a target with a free slot by the power of two random choices, preferring
+	 * targets in the entry's own zone.
 	 * @param now the time
 	 * @param configuration the accepted configuration
-	 * @param triedTargets targets to leave out
-	 * @return the target, or empty if none has room
+	 * @param triedTargets the targets to exclude
+	 * @return the target, or empty if none has a free slot
 	 */
 	Optional<TargetRecord> choose(long now, Configuration configuration, Set<TargetId> triedTargets) {
 		List<TargetRecord> inOwnZone = new ArrayList<>();
@@ -153,9 +155,10 @@
 	}
 
 	/**
-	 * Whether one more target may be ejected; at least one always may if there are two.
+	 * Whether another target may be ejected. With two or more targets at least one may be
+	 * ejected.
 	 * @param now the time
-	 * @return false when the share that is ejected is at its bound
+	 * @return false if the share of ejected targets is at its limit
 	 */
 	boolean mayEject(long now) {
 		int ejectedCount = 0;
--- a/core/src/main/java/org/almondmount/requests/package-info.java
+++ b/core/src/main/java/org/almondmount/requests/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions about requests at an entry: admission, routing, limits, retries and
- * truthful endings, as one deterministic state machine without I/O.
+ * Decisions about requests at an entry: admission, routing, limits, retries and accurate
+ * outcomes, as a deterministic state machine without I/O.
  */
 package org.almondmount.requests;
--- a/core/src/main/java/org/almondmount/slots/SlotCommand.java
+++ b/core/src/main/java/org/almondmount/slots/SlotCommand.java
@@ -4,11 +4,11 @@
 import org.almondmount.model.RequestId;
 
 /**
- * Everything that a target's slot gate asks its driver to do.
+ * Commands from a target's slot gate to its driver.
  */
 public sealed interface SlotCommand {
 
-	/** Tell the entry how many slots it may use from now on. */
+	/** Announce to the entry the number of slots that it may use from now on. */
 	record LendSlots(EntryId entry, int slots) implements SlotCommand {
 	}
 
@@ -16,25 +16,26 @@
 	record Run(EntryId entry, RequestId request, int attempt, long deadlineMillis) implements SlotCommand {
 	}
 
-	/** Answer the entry: it did not start and never will. */
+	/** Report to the entry that the attempt did not start and never will. */
 	record RefuseNotStarted(EntryId entry, RequestId request, int attempt, String reason) implements SlotCommand {
 	}
 
-	/** Pass the instance's whole answer to the entry. */
+	/** Pass the instance's complete answer to the entry. */
 	record Answer(EntryId entry, RequestId request, int attempt) implements SlotCommand {
 	}
 
 	/**
-	 * Tell the entry that the instance may have run it and nobody can tell how it ended.
+	 * Report to the entry that the instance may have run the attempt and that its outcome
+	 * is unknown.
 	 */
 	record AnswerBroken(EntryId entry, RequestId request, int attempt, String reason) implements SlotCommand {
 	}
 
-	/** Tell every entry that this target takes no new work. */
+	/** Announce to every entry that this target accepts no new requests. */
 	record AnnounceDraining() implements SlotCommand {
 	}
 
-	/** Everything is answered: the process may end. */
+	/** All attempts are answered and the process may exit. */
 	record Drained() implements SlotCommand {
 	}
 
--- a/core/src/main/java/org/almondmount/slots/SlotEvent.java
+++ b/core/src/main/java/org/almondmount/slots/SlotEvent.java
@@ -5,7 +5,7 @@
 import org.almondmount.model.ZoneState;
 
 /**
- * Everything that a target's slot gate is told.
+ * Events that a target's slot gate handles.
  */
 public sealed interface SlotEvent {
 
@@ -13,41 +13,44 @@
 	record EntryJoined(EntryId entry) implements SlotEvent {
 	}
 
-	/** An entry's connection is gone: what it sent goes on, its answers have nobody. */
+	/**
+	 * An entry's connection is closed: its running attempts continue, but their answers
+	 * cannot be delivered.
+	 */
 	record EntryLost(EntryId entry) implements SlotEvent {
 	}
 
 	/**
-	 * The entry has certainly taken in its first loans: it answered a heartbeat that was
-	 * sent after them on the same connection.
+	 * The entry has confirmed its first loans by answering a heartbeat that was sent
+	 * after them on the same connection.
 	 *
 	 * @param entry the entry
-	 * @param loanCount how many of the loans that it was told since it joined
+	 * @param loanCount number of confirmed loan messages since the entry joined
 	 */
 	record LoanConfirmed(EntryId entry, int loanCount) implements SlotEvent {
 	}
 
-	/** An entry sends an attempt. The deadline is in this process's time. */
+	/** An entry sent an attempt. The deadline refers to the clock of this process. */
 	record CallReceived(EntryId entry, RequestId request, int attempt, long deadlineMillis) implements SlotEvent {
 	}
 
-	/** An entry gave the attempt up; it may arrive later than this. */
+	/** An entry cancelled the attempt. The attempt itself may arrive after this event. */
 	record CallCancelled(EntryId entry, RequestId request, int attempt) implements SlotEvent {
 	}
 
-	/** The instance answered whole. */
+	/** The instance returned a complete answer. */
 	record CallEnded(RequestId request, int attempt) implements SlotEvent {
 	}
 
-	/** The instance broke off or timed out. */
+	/** The call to the instance failed or timed out. */
 	record CallBroken(RequestId request, int attempt, boolean reachedInstance, String reason) implements SlotEvent {
 	}
 
-	/** The zone's state as last heard, and when it was true at the source. */
+	/** The most recently received state of the zone. */
 	record ZoneStateReceived(ZoneState state) implements SlotEvent {
 	}
 
-	/** The process shuts down or its VM leaves. */
+	/** The process shuts down or its VM is drained. */
 	record Draining() implements SlotEvent {
 	}
 
--- a/core/src/main/java/org/almondmount/slots/SlotGate.java
+++ b/core/src/main/java/org/almondmount/slots/SlotGate.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * The entrance to a target's decisions about requests. Deterministic; not thread-safe.
+ * Decides which attempts a target runs and how many slots each entry may use.
+ * Deterministic; not thread-safe.
  */
 public interface SlotGate {
 
 	/**
-	 * Takes one event.
+	 * Handles an event.
 	 * @param nowMillis the driver's monotonic time in milliseconds
 	 * @param event what happened
-	 * @return what is to be done, in order
+	 * @return the commands to execute, in order
 	 */
 	List<SlotCommand> handle(long nowMillis, SlotEvent event);
 
 	/**
-	 * Slots in use now.
-	 * @return a count of attempts
+	 * Number of slots in use.
+	 * @return the number of running attempts
 	 */
 	int inUse();
 
--- a/core/src/main/java/org/almondmount/slots/SlotGateFactory.java
+++ b/core/src/main/java/org/almondmount/slots/SlotGateFactory.java
@@ -3,7 +3,7 @@
 import org.almondmount.slots.impl.DefaultSlotGate;
 
 /**
- * Makes slot gates.
+ * Creates slot gates.
  */
 public final class SlotGateFactory {
 
@@ -11,7 +11,7 @@
 	}
 
 	/**
-	 * Makes a gate that knows no entry yet and takes its zone to be in service.
+	 * Creates a gate without entries that assumes its zone to be in service.
 	 * @param policy its options
 	 * @return the gate
 	 */
--- a/core/src/main/java/org/almondmount/slots/SlotPolicy.java
+++ b/core/src/main/java/org/almondmount/slots/SlotPolicy.java
@@ -5,23 +5,25 @@
 import org.almondmount.model.InvalidValueException;
 
 /**
- * The options of a slot gate. Immutable; changed by its with-methods.
+ * Options of a slot gate. Immutable; the {@code with} methods return changed copies.
  *
- * @param slots attempts that the instance works on at the same time, at least 1
- * @param connections connections that the instance accepts, at least 1; each attempt
- * needs one
- * @param remember how long an attempt that ended, was refused or was cancelled is known,
- * so that a late copy of it is not run. A copy can only come late by what the connection
- * holds back, and a connection whose heartbeats are not answered within the heartbeat
- * timeout (2.5 s) is closed, so a multiple of that is enough
- * @param rememberAtMost attempts that are remembered at the same time; beyond it nothing
- * new is run, and refusals no longer claim to be final
- * @param rotation which entries get one slot more where slots do not divide evenly; it
- * should differ from target to target, or the same entries get less everywhere
+ * @param slots maximum number of attempts that the instance processes at the same time,
+ * at least 1
+ * @param connections maximum number of connections that the instance accepts, at least 1;
+ * each attempt needs one
+ * @param remember how long an attempt that ended, was refused or was cancelled is
+ * remembered, so that a late copy of it is not run. The connection limits the delay of a
+ * copy: it is closed when heartbeats are not answered within the heartbeat timeout (2.5
+ * s), so a multiple of that timeout is enough
+ * @param rememberAtMost maximum number of remembered attempts; beyond it no new attempt
+ * is run, and attempts are no longer reported as not started
+ * @param rotation offset that selects the entries which get the remaining slots when
+ * slots do not divide evenly; it should differ between targets, otherwise the same
+ * entries get fewer slots everywhere
  */
 public record SlotPolicy(int slots, int connections, Duration remember, int rememberAtMost, int rotation) {
 
-	/** The options that hold where nothing else is said. */
+	/** The default options. */
 	public static final SlotPolicy DEFAULT = new SlotPolicy(8, 64, Duration.ofSeconds(30), 65_536, 0);
 
 	public SlotPolicy {
@@ -31,7 +33,7 @@
 	}
 
 	/**
-	 * Attempts that may run at the same time.
+	 * Maximum number of attempts that run at the same time.
 	 * @return the smaller of slots and connections
 	 */
 	public int maxRunning() {
--- a/core/src/main/java/org/almondmount/slots/impl/AttemptHistory.java
+++ b/core/src/main/java/org/almondmount/slots/impl/AttemptHistory.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * Remembers attempts that were run, refused or cancelled. Bounded; not thread-safe.
+ * Records attempts that were run, refused or cancelled. Bounded; not thread-safe.
  * <p>
- * A copy of a message can come after the attempt was refused, when the caller may already
- * have been told that it did not run. Running the copy would make that untrue. Every
- * attempt is therefore remembered for longer than any connection can hold a message back.
- * When the memory is full, forgetting early would reopen the fault, so
- * {@link #hasCapacity()} turns false and nothing new is run.
+ * A copy of a message can arrive after the attempt was refused, when the caller may
+ * already have been informed that the request did not run. Running the copy would make
+ * that answer wrong. Every attempt is therefore recorded for longer than any connection
+ * can delay a message. Evicting records early when the history is full would reintroduce
+ * the fault, so {@link #hasCapacity()} returns false and no new attempt is run.
  */
 final class AttemptHistory {
 
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Remembers an attempt from now on, in place of what was known about it.
+	 * Records an attempt, replacing an earlier record of it.
 	 * @param now the time
 	 * @param attempt the attempt
 	 * @param ran whether it was passed to the instance
--- a/core/src/main/java/org/almondmount/slots/impl/AttemptKey.java
+++ b/core/src/main/java/org/almondmount/slots/impl/AttemptKey.java
@@ -3,7 +3,7 @@
 import org.almondmount.model.RequestId;
 
 /**
- * What one run is known by.
+ * Identifies an attempt.
  *
  * @param request the request
  * @param attempt the attempt's number
--- a/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
+++ b/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
@@ -14,7 +14,7 @@
 import org.almondmount.slots.SlotPolicy;
 
 /**
- * The slot gate. Deterministic; not thread-safe.
+ * Default implementation of the slot gate. Deterministic; not thread-safe.
  */
 public final class DefaultSlotGate implements SlotGate {
 
@@ -87,8 +87,9 @@
 
 	private void onCallReceived(long now, SlotEvent.CallReceived call) {
 		AttemptKey attempt = new AttemptKey(call.request(), call.attempt());
-		// "Not started" about an attempt that ran would have the entry send it again, so
-		// a copy of one is dropped: its own answer is or was on the way.
+		// A copy of an attempt that ran is dropped: reporting it as not started would
+		// make the entry send the request again. The attempt itself has been or will be
+		// answered.
 		if (this.running.containsKey(attempt) || this.history.hasRun(attempt)) {
 			return;
 		}
@@ -114,8 +115,8 @@
 	private void onCallCancelled(long now, SlotEvent.CallCancelled call) {
 		AttemptKey attempt = new AttemptKey(call.request(), call.attempt());
 		boolean known = this.running.containsKey(attempt) || this.history.hasRun(attempt);
-		// The entry never calls a cancelled attempt "not run", so that a full memory may
-		// skip it.
+		// An entry never reports a cancelled attempt as not run, so the cancellation may
+		// be dropped when the history is full.
 		if (!known && this.history.hasCapacity()) {
 			this.history.record(now, attempt, false);
 		}
@@ -159,7 +160,8 @@
 				: new SlotCommand.RefuseNotStarted(run.entry(), broken.request(), broken.attempt(), broken.reason()));
 	}
 
-	// The time of remembering counts from the end: a copy may come while it runs.
+	// The retention time starts at the end of the attempt, since a copy may arrive while
+	// it runs.
 	private RunningAttempt releaseSlot(long now, AttemptKey attempt, boolean ran) {
 		RunningAttempt run = this.running.remove(attempt);
 		if (run != null) {
--- a/core/src/main/java/org/almondmount/slots/impl/SlotAllocator.java
+++ b/core/src/main/java/org/almondmount/slots/impl/SlotAllocator.java
@@ -8,11 +8,11 @@
 /**
  * Divides the slots among the connected entries. Not thread-safe.
  * <p>
- * Entries do not talk to each other about slots. If a slot were lent to a second entry
- * while the first still believes in it, both would send and one of the two attempts would
- * be refused. So a slot is lent anew only when its last borrower has confirmed the
- * smaller loan and no longer uses it: what entries believe never adds up to more than
- * there is.
+ * Entries do not coordinate their use of slots. If a slot were lent to a second entry
+ * while the first still assumes that it may use it, both would send and one of the two
+ * attempts would be refused. A slot is therefore lent again only after its last borrower
+ * has confirmed the smaller loan and no longer uses the slot. The slots that entries
+ * assume to be lent to them therefore never exceed the total.
  */
 final class SlotAllocator {
 
@@ -23,9 +23,9 @@
 	private final Map<EntryId, Loan> loans = new TreeMap<>();
 
 	/**
-	 * Makes a book without entries.
-	 * @param slots all slots
-	 * @param rotation where the entries that get one slot more begin
+	 * Creates an allocator without entries.
+	 * @param slots the total number of slots
+	 * @param rotation offset of the first entry that gets one of the remaining slots
 	 */
 	SlotAllocator(int slots, int rotation) {
 		this.slots = slots;
@@ -40,8 +40,8 @@
 		this.loans.remove(entry);
 	}
 
-	// A confirmation of an earlier loan says nothing, even if that was of as many slots:
-	// a larger one may still be on the way.
+	// A confirmation of an earlier loan is ignored, even if it was for the same number of
+	// slots, because a larger loan may still be in transit.
 	void confirm(EntryId entry, int confirmedCount) {
 		Loan loan = this.loans.get(entry);
 		if (loan != null && loan.announcedCount == confirmedCount) {
@@ -50,9 +50,9 @@
 	}
 
 	/**
-	 * Works out the loans that change.
-	 * @param inUse attempts that run, by the entry that sent them
-	 * @return new loans by entry
+	 * Recomputes the loans and returns those that change.
+	 * @param inUse number of running attempts by the entry that sent them
+	 * @return the changed number of lent slots by entry
 	 */
 	Map<EntryId, Integer> rebalance(Map<EntryId, Integer> inUse) {
 		Map<EntryId, Integer> changed = new TreeMap<>();
--- a/core/src/main/java/org/almondmount/slots/impl/package-info.java
+++ b/core/src/main/java/org/almondmount/slots/impl/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The slot gate: the loans to entries and the memory of attempts. Nothing here is
- * thread-safe.
+ * Implementation of the slot gate: the slots lent to entries and the history of attempts.
+ * No class of this package is thread-safe.
  */
 package org.almondmount.slots.impl;
--- a/core/src/test/java/org/almondmount/configuration/ConfigurationManagerTests.java
+++ b/core/src/test/java/org/almondmount/configuration/ConfigurationManagerTests.java
@@ -15,8 +15,8 @@
 			.containsExactly(new ConfigurationCommand.Apply(revision(3)));
 	}
 
-	// An entry that was frozen comes back and pushes the configuration of before. Taking
-	// it would put a zone back in service that operators have taken out.
+	// Guards against putting a zone back in service that operators took out: an entry
+	// that was suspended resumes and sends its outdated configuration.
 	@Test
 	void aLowerRevisionNeverReplacesAHigherOne() {
 		this.manager.handle(0, new ConfigurationEvent.ReceivedFromPeer(revision(5)));
--- a/core/src/test/java/org/almondmount/configuration/ConfirmationManagerTests.java
+++ b/core/src/test/java/org/almondmount/configuration/ConfirmationManagerTests.java
@@ -40,8 +40,9 @@
 		assertThat(this.manager.areStartsHeld()).isFalse();
 	}
 
-	// The table doesn't say whether the zone is out. The operator hears that it is not
-	// known, and still nothing starts: the zone may be out.
+	// Guards against starting tasks in a zone that may be out of service. The table does
+	// not report the outcome of the commit; the operator is informed that it is unknown,
+	// and starts stay held.
 	@Test
 	void anUnknownCommitOutcomeIsReportedAndStartsStayHeld() {
 		confirm(0, 1, 4);
@@ -58,8 +59,8 @@
 		assertThat(this.manager.areStartsHeld()).isFalse();
 	}
 
-	// Two operators confirm at once. The second would be planned against a configuration
-	// that may already be another.
+	// Guards against applying a plan to another configuration than it was computed
+	// against, when two operators confirm at the same time.
 	@Test
 	void aConfirmationIsRefusedWhileAnotherIsPending() {
 		confirm(0, 1, 4);
--- a/core/src/test/java/org/almondmount/intake/IntakePolicyTests.java
+++ b/core/src/test/java/org/almondmount/intake/IntakePolicyTests.java
@@ -32,8 +32,8 @@
 		assertThat(this.policy.waitDeadline(10_000, 500, false)).isBetween(10_350L, 10_499L);
 	}
 
-	// Told to come back in a second, a caller with less than that never comes: it is lost
-	// by our own advice.
+	// Guards against a retry-after time that exceeds the caller's remaining time, for
+	// example one second with less than that left: such a caller never retries.
 	@Test
 	void retryAfterNeverExceedsTheRemainingTime() {
 		for (IntakeRefusal reason : IntakeRefusal.values()) {
@@ -50,9 +50,10 @@
 		assertThat(this.policy.retryAfter(IntakeRefusal.TOO_MANY_WAIT, 3_000)).isPositive();
 	}
 
-	// A caller of three seconds whose store is away: each entry lets it wait and tells it
-	// when to come back. Whenever the store returns before the last tenth of its time, it
-	// must be in line, and it may not need more than five tries for that.
+	// Guards against a caller that is not queued when the store returns. The caller has a
+	// timeout of three seconds, and each entry queues its job and then returns a
+	// retry-after time. The job has to be queued at any time before the last tenth of the
+	// timeout, with at most five attempts.
 	@Test
 	void aCallerThatFollowsRetryAfterIsAlwaysQueued() {
 		long now = 0;
--- a/core/src/test/java/org/almondmount/membership/EntryDirectoryTests.java
+++ b/core/src/test/java/org/almondmount/membership/EntryDirectoryTests.java
@@ -33,8 +33,8 @@
 		assertThat(this.directory.addressesToAnnounce()).containsExactly("10.0.0.1:7000", OTHER);
 	}
 
-	// Each of two entries dials the other at the same moment; when one of the two
-	// connections goes, the other still stands.
+	// Two entries that dial each other at the same time have two connections; when one of
+	// them closes, the other is still open.
 	@Test
 	void anEntryWithOneOfTwoConnectionsLeftIsNotDialled() {
 		this.directory.onConnected(0, OTHER);
@@ -43,7 +43,8 @@
 		assertThat(this.directory.addressesToDial(5_000)).isEmpty();
 	}
 
-	// A killed entry leaves its row behind; its address would be dialled for good.
+	// Guards against dialling the address of a killed entry forever, since its row
+	// remains in the table.
 	@Test
 	void anUnresponsiveEntryIsRemoved() {
 		this.directory.addAddress(0, OTHER);
--- a/core/src/test/java/org/almondmount/requests/RequestOutcomeProperties.java
+++ b/core/src/test/java/org/almondmount/requests/RequestOutcomeProperties.java
@@ -31,9 +31,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Two entries and three targets over a network that loses, delays, reorders and doubles
- * messages and loses connections. The instances count starts by themselves and know
- * nothing of attempts, tombstones or loans.
+ * Simulates two entries and three targets over a network that loses, delays, reorders and
+ * duplicates messages and drops connections. The instances count the starts of requests
+ * independently of attempts, tombstones and loans.
  */
 class RequestOutcomeProperties {
 
@@ -43,10 +43,11 @@
 
 	private static final int SLOT_COUNT = 3;
 
-	// Caller: hears one ending at most; after "not run" its request never starts; without
-	// leave to repeat it starts once at most. Messages are lost, doubled and delayed by
-	// up to five seconds in any order, and connections break at one end before the other,
-	// because either end may notice first.
+	// Guards against wrong outcomes: a caller gets at most one outcome, a request that is
+	// reported as not run never starts, and a request that is not idempotent starts at
+	// most once. Messages are lost, duplicated and delayed by up to five seconds in any
+	// order. Connections break at one end before the other, because either end may notice
+	// first.
 	@Property(tries = TRIES, seed = "20261202")
 	void outcomesAreAccurateUnderNetworkFaults(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
 		Simulation simulation = new Simulation(seed);
@@ -142,9 +143,9 @@
 					Optional.empty(), this.now + 200 + this.random.nextInt(3_000)));
 		}
 
-		// Each end notices on its own. The target is heard again under a new connection;
-		// what the old one still brings to the target is passed on, what it brings to the
-		// entry is not.
+		// Each end notices the loss independently. The target then joins again on a new
+		// connection. Messages still in transit on the old connection are delivered to
+		// the target but not to the entry.
 		private void breakConnection(Entry entry, Target target) {
 			entry.connectionNumbers.merge(target.id, 1, Integer::sum);
 			entry.handle(new RequestEvent.TargetLost(target.id));
@@ -301,7 +302,8 @@
 				transmit(() -> entry(entry).receive(this.id, connectionNumber, event));
 			}
 
-			// The instance: counts starts and what it works on.
+			// Simulates the instance: counts the starts of each request and the running
+			// attempts.
 			private void runOnInstance(SlotCommand.Run run) {
 				boolean refusesConnection = Simulation.this.random.nextDouble() < Simulation.this.faultRate / 5;
 				if (refusesConnection) {
--- a/core/src/test/java/org/almondmount/requests/RequestRouterTests.java
+++ b/core/src/test/java/org/almondmount/requests/RequestRouterTests.java
@@ -84,10 +84,9 @@
 		assertThat(sends()).hasSize(1);
 	}
 
-	// A rolling restart of two targets: the first has joined again and lends its slots in
-	// a
-	// moment; the second leaves and did not start a request. Its caller would hear that
-	// it has not run, though a target that could run it is connected.
+	// Guards against refusing a request while a target that can run it is connected. In a
+	// rolling restart of two targets the first has joined again but has not lent its
+	// slots yet, and the second drains and did not start the request.
 	@Test
 	void aRequestNotStartedByADrainingTargetWaitsForATargetThatHasJustJoined() {
 		join(T2, NEAR, 8);
@@ -140,9 +139,9 @@
 		assertThat(sends()).isEmpty();
 	}
 
-	// Caller: its request may not be repeated, and the target that has it is lost. The
-	// request may be running there. So the caller hears "may have run", at once, and
-	// nothing is sent elsewhere.
+	// Guards against running a non-idempotent request twice. Its target is lost and may
+	// still be running it, so the request is refused immediately as may-have-run and is
+	// not sent elsewhere.
 	@Test
 	void aRequestThatMayNotBeRepeatedIsNotSentAgainWhenItsTargetIsLost() {
 		join(T1, NEAR, 8);
@@ -277,8 +276,9 @@
 		assertThat(refusals()).isEmpty();
 	}
 
-	// Customers: anna's requests take ten times as long as bea's. Served by turns, anna
-	// would get ten times the slots; served by slot time, both get the same.
+	// Guards against a customer with slow requests taking most of the slots. The requests
+	// of anna take ten times as long as those of bea: by request count, anna would get
+	// ten times the slot time; by slot time, both get the same.
 	@Test
 	void slotsAreSharedBySlotTimeAndNotByRequestCount() {
 		createRouter(this.policy.withQueueLimit(10_000));
@@ -386,8 +386,9 @@
 		assertThat(this.router.outstandingCount()).isZero();
 	}
 
-	// Caller: has used the key before, and that request is still running. Releasing the
-	// key now would let a third one run beside it.
+	// Guards against running a request twice. An earlier request with the same key is
+	// still running; releasing the key now would allow a third request to run at the same
+	// time.
 	@Test
 	void theKeyOfAnotherRequestIsNotReleased() {
 		join(T1, NEAR, 8);
--- a/core/src/test/java/org/almondmount/slots/SlotGateTests.java
+++ b/core/src/test/java/org/almondmount/slots/SlotGateTests.java
@@ -29,9 +29,9 @@
 		assertThat(this.gate.handle(0, new SlotEvent.EntryJoined(A))).containsExactly(new SlotCommand.LendSlots(A, 2));
 	}
 
-	// Entries: A is lent both slots, then B joins. If B were lent one at once, both would
-	// believe in a slot that there is only once. So B hears of none until A has confirmed
-	// the smaller loan.
+	// Guards against two entries using the same slot. A is lent both slots, then B joins.
+	// If a slot were lent to B immediately, A could still use it too, so B gets none
+	// until A has confirmed the smaller loan.
 	@Test
 	void aSlotIsLentAgainOnlyAfterItsBorrowerConfirmedTheSmallerLoan() {
 		this.gate.handle(0, new SlotEvent.EntryJoined(A));
@@ -75,9 +75,9 @@
 		assertThat(this.gate.inUse()).isEqualTo(2);
 	}
 
-	// Caller: was told "not run" after the target refused the call. A copy that the
-	// network had kept comes when a slot is free. Running it would make the answer
-	// untrue.
+	// Guards against running a call that was reported as not run. The target refused the
+	// call for lack of slots, and a copy delayed by the network arrives when a slot is
+	// free.
 	@Test
 	void aCopyOfARefusedCallIsRefusedEvenIfASlotIsFree() {
 		this.gate.handle(0, call(A, ONE));
@@ -88,9 +88,9 @@
 			.isInstanceOf(SlotCommand.RefuseNotStarted.class);
 	}
 
-	// Entry: waits for the answer of a call that runs. A copy of the call comes. "Not
-	// started" about it would have the entry send it to another target, and it would run
-	// twice.
+	// Guards against running a call twice. A copy arrives while the call runs or after
+	// its end. If it were reported as not started, the entry would send the call to
+	// another target.
 	@Test
 	void aCopyOfACallThatRanIsDroppedWithoutAnAnswer() {
 		this.gate.handle(0, call(A, ONE));
--- a/core/src/test/java/org/almondmount/slots/SlotLoanProperties.java
+++ b/core/src/test/java/org/almondmount/slots/SlotLoanProperties.java
@@ -15,16 +15,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Entries that come, go and fall silent, and connections that keep the order of messages
- * but take any time. Each entry believes the last loan that it has read.
+ * Simulates entries that connect, disconnect and stop reading, and connections that
+ * preserve the order of messages but delay them arbitrarily. Each entry assumes the last
+ * loan that it has read.
  */
 class SlotLoanProperties {
 
 	private static final int SLOT_COUNT = 8;
 
-	// Entries: if two of them believed in the same slot, both would send and one of the
-	// two attempts would be refused. A loan is confirmed by the answer to a heartbeat
-	// that was sent after it on the same connection.
+	// Guards against lending the same slot to two entries, in which case both would send
+	// and one of the two attempts would be refused. A loan is confirmed by the answer to
+	// a heartbeat that was sent after it on the same connection.
 	@Property(tries = 500, seed = "20261204")
 	void slotsAssumedByEntriesNeverExceedTheTotal(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
 		Simulation simulation = new Simulation(seed);
@@ -91,8 +92,8 @@
 			return this.entries.stream().anyMatch((entry) -> entry.connected);
 		}
 
-		// The entry drops its belief before the target hears of it: what it sends over a
-		// dead connection arrives nowhere.
+		// The entry gives up its slots before the target notices the loss, because
+		// messages sent on a closed connection are not delivered.
 		private void toggle(Entry entry) {
 			entry.connected = !entry.connected;
 			entry.assumedSlots = 0;
