--- a/core/src/main/java/org/almondmount/configuration/ConfirmationManager.java
+++ b/core/src/main/java/org/almondmount/configuration/ConfirmationManager.java
@@ -71,7 +71,7 @@
 			commands.add(refuse(event.request(),
 					Refusal
 						.notRun(RefusalReason.STORE_UNKNOWN,
-								"the change by plan " + this.pending.plan + " is still open")
+								"the change by plan " + this.pending.plan + " is still pending")
 						.withRetryAfter(RETRY_AFTER)));
 			return;
 		}
@@ -111,7 +111,7 @@
 			case SUPERSEDED ->
 				refuse(change.request, Refusal.notRun(RefusalReason.SUPERSEDED, "another change was committed first"));
 			case NOT_COMMITTED ->
-				refuse(change.request, Refusal.notRun(RefusalReason.STORE_AWAY, "the table did not take the change")
+				refuse(change.request, Refusal.notRun(RefusalReason.STORE_AWAY, "the table did not accept the change")
 					.withRetryAfter(RETRY_AFTER));
 		};
 	}
@@ -138,7 +138,7 @@
 		return refuse(change.request,
 				Refusal
 					.mayHaveRun(RefusalReason.STORE_UNKNOWN,
-							"the table has not said whether revision " + change.next.revision() + " took effect")
+							"the table has not reported whether revision " + change.next.revision() + " took effect")
 					.withRetryAfter(RETRY_AFTER));
 	}
 
--- a/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
+++ b/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
@@ -6,20 +6,20 @@
 public enum IntakeRefusal {
 
 	/** The store does not answer this entry. */
-	STORE_SILENT("the store does not answer; hand the job in again after the time to come back", true),
+	STORE_SILENT("the store does not answer; submit the job again after the retry-after time", true),
 
 	/** The store answers but accepts no jobs from this entry. */
-	STORE_TURNS_AWAY("the store takes nothing from this entry; hand the job in again, it may reach another entry",
+	STORE_TURNS_AWAY("the store accepts no jobs from this entry; submit the job again, it may reach another entry",
 			true),
 
 	/** The number of jobs that wait for the store has reached the limit of this entry. */
-	TOO_MANY_WAIT("too many jobs wait for the store here; hand the job in again after the time to come back", false),
+	TOO_MANY_WAIT("too many jobs wait for the store here; submit the job again after the retry-after time", false),
 
 	/** This entry is shutting down or overloaded. */
-	BUSY("this entry takes no more work; hand the job in again, it may reach another entry", false),
+	BUSY("this entry accepts no more jobs; submit the job again, it may reach another entry", false),
 
 	/** The job was sent to the store and no answer arrived. */
-	UNSETTLED("nobody can tell whether the job was accepted; hand the same job in again to settle it", true);
+	UNSETTLED("it is not known whether the job was accepted; submit the same job again to find out", true);
 
 	private final String remedy;
 
--- a/core/src/main/java/org/almondmount/model/Refusal.java
+++ b/core/src/main/java/org/almondmount/model/Refusal.java
@@ -14,7 +14,7 @@
 
 	public Refusal {
 		if (retryAfter.isNegative()) {
-			throw new InvalidValueException("retryAfter", "is negative; give zero where waiting does not help");
+			throw new InvalidValueException("retryAfter", "is negative; give zero if waiting does not help");
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/requests/impl/Admission.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Admission.java
@@ -47,7 +47,7 @@
 	Optional<Refusal> check(long now, Configuration configuration, CustomerId customer, long deadline,
 			int pendingClaims, int slots) {
 		if (deadline <= now) {
-			return Optional.of(Refusal.notRun(RefusalReason.DEADLINE, "the deadline had passed on arrival"));
+			return Optional.of(Refusal.notRun(RefusalReason.DEADLINE, "the deadline had already passed on arrival"));
 		}
 		int waiting = this.queue.size(customer);
 		double waitMillis = expectedWaitMillis(configuration, customer, slots);
@@ -57,9 +57,9 @@
 				.withRetryAfter(retryAfter(waitMillis)));
 		}
 		if (this.queue.size() + pendingClaims >= this.policy.queueLimit()) {
-			return Optional
-				.of(Refusal.notRun(RefusalReason.QUEUE_FULL, "the entry already has its most requests waiting")
-					.withRetryAfter(retryAfter(waitMillis)));
+			return Optional.of(Refusal
+				.notRun(RefusalReason.QUEUE_FULL, "the entry already has the maximum number of requests waiting")
+				.withRetryAfter(retryAfter(waitMillis)));
 		}
 		if (this.queue.hasEstimate(customer) && now + waitMillis > deadline) {
 			return Optional.of(
--- a/core/src/main/java/org/almondmount/requests/impl/DefaultRequestRouter.java
+++ b/core/src/main/java/org/almondmount/requests/impl/DefaultRequestRouter.java
@@ -147,8 +147,9 @@
 			return Optional.of(Refusal.notRun(RefusalReason.DRAINING, "the entry is shutting down"));
 		}
 		if (this.state.configuration() == null) {
-			return Optional.of(Refusal.notRun(RefusalReason.NO_CONFIGURATION, "the entry knows no configuration yet")
-				.withRetryAfter(this.state.policy().busyRetryAfter()));
+			return Optional
+				.of(Refusal.notRun(RefusalReason.NO_CONFIGURATION, "the entry has not received a configuration yet")
+					.withRetryAfter(this.state.policy().busyRetryAfter()));
 		}
 		Optional<Refusal> noTarget = this.dispatcher.noTargetRefusal(now);
 		if (noTarget.isPresent()) {
@@ -168,7 +169,8 @@
 		// A repeated request with the same key needs the outcome of this one, so the
 		// answer is still recorded.
 		if (request.key().isPresent() && request.runState() == RunState.MAY_HAVE_RUN) {
-			this.state.explanationLog().add(id, "the caller closed its connection; the answer is kept for its key");
+			this.state.explanationLog()
+				.add(id, "the caller closed its connection; the answer will be recorded for its key");
 			return;
 		}
 		this.completion.refuse(request, RefusalReason.CALLER_GONE, "the caller closed its connection");
@@ -217,7 +219,7 @@
 		}
 		request.closeNotRun(event.attempt());
 		retryOrRefuse(now, request, RetryReason.NOT_STARTED, RefusalReason.TARGETS_BUSY,
-				"target " + event.target() + " did not start it (" + event.reason() + ")");
+				"target " + event.target() + " did not start the request (" + event.reason() + ")");
 	}
 
 	private void onBroken(long now, RequestEvent.Broken event) {
@@ -229,7 +231,7 @@
 		}
 		request.closeMayHaveRun(event.attempt());
 		retryOrRefuse(now, request, RetryReason.BROKEN, RefusalReason.BAD_ANSWER,
-				"the instance of target " + event.target() + " gave no whole answer (" + event.reason() + ")");
+				"the instance of target " + event.target() + " returned no complete answer (" + event.reason() + ")");
 	}
 
 	private void onNotSent(long now, RequestEvent.NotSent event) {
@@ -241,7 +243,7 @@
 		}
 		request.closeNotRun(event.attempt());
 		retryOrRefuse(now, request, RetryReason.NOT_SENT, RefusalReason.TARGETS_BUSY,
-				"the connection to target " + event.target() + " took nothing");
+				"the connection to target " + event.target() + " accepted no message");
 	}
 
 	// Releases the slot in any case. Returns the request only if this attempt is still
@@ -290,7 +292,7 @@
 			}
 			case ANSWERED_BEFORE -> this.completion.deliverRecorded(request);
 			case HELD_BY_OTHER -> refuseClaim(request, Refusal.mayHaveRun(RefusalReason.KEY_IN_USE,
-					"an earlier request with this key has no known ending yet"));
+					"the outcome of an earlier request with this key is not known yet"));
 			case DIFFERENT_CONTENT -> this.completion.refuse(request,
 					Refusal.notRun(RefusalReason.KEY_REUSED, "the key was used for other content"));
 			case STORE_AWAY -> refuseClaim(request,
@@ -298,7 +300,7 @@
 			case UNKNOWN -> {
 				request.markKeyHeld();
 				refuseClaim(request, Refusal.notRun(RefusalReason.STORE_UNKNOWN,
-						"it is not known whether the key was claimed; nothing was sent, but the key may stay taken"));
+						"it is not known whether the key was claimed; nothing was sent, but the key may remain claimed"));
 			}
 		}
 	}
--- a/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
@@ -86,7 +86,7 @@
 			return false;
 		}
 		this.state.addCommand(new RequestCommand.CountRetry(reason));
-		this.state.explanationLog().add(request.id(), "it is tried elsewhere: " + reason.externalName());
+		this.state.explanationLog().add(request.id(), "it is retried on another target: " + reason.externalName());
 		request.enterPhase(RequestRecord.Phase.QUEUED);
 		this.state.queue().addFirst(request);
 		return true;
@@ -150,7 +150,7 @@
 			RequestRecord request = this.state.queue().peekFirst(customer);
 			Set<TargetId> triedTargets = request.triedTargets();
 			if (!triedTargets.isEmpty() && !this.state.targets().anyUntried(now, configuration, triedTargets)) {
-				this.completion.refuse(request, RefusalReason.TARGETS_BUSY, "no target is left that was not tried");
+				this.completion.refuse(request, RefusalReason.TARGETS_BUSY, "every available target was already tried");
 				return true;
 			}
 			Optional<TargetRecord> target = this.state.targets().choose(now, configuration, triedTargets);
@@ -198,7 +198,7 @@
 
 	private Refusal noTargetRefusal() {
 		Refusal refusal = this.state.targets().anyExcludedByZoneState(this.state.configuration())
-				? Refusal.notRun(RefusalReason.ZONE_OUT, "every target stands in a zone that is out of service")
+				? Refusal.notRun(RefusalReason.ZONE_OUT, "every target is in a zone that is out of service")
 				: Refusal.notRun(RefusalReason.NO_TARGET, "no target is connected to this entry");
 		return refusal.withRetryAfter(this.state.policy().busyRetryAfter());
 	}
--- a/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
@@ -27,11 +27,11 @@
 			return;
 		}
 		if (kind == AnswerKind.ERROR) {
-			recordFailure(now, target, "it failed several requests in a row");
+			recordFailure(now, target, "several consecutive requests failed");
 			return;
 		}
 		if (target.probing()) {
-			logDecision(id, "answers again and is back in use");
+			logDecision(id, "answers again; its ejection is over");
 		}
 		target.recordSuccess();
 	}
@@ -43,14 +43,14 @@
 	void onRefused(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
-			recordFailure(now, target, "it refused several requests in a row");
+			recordFailure(now, target, "it refused several consecutive requests");
 		}
 	}
 
 	void onBroken(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
-			recordFailure(now, target, "its instance broke off several requests in a row");
+			recordFailure(now, target, "its instance returned no complete answer to several consecutive requests");
 		}
 	}
 
@@ -62,7 +62,7 @@
 		for (TargetRecord target : this.state.targets().all()) {
 			target.clearConnectionFull();
 			if (!target.isEjected(now) && target.isStalled(now)) {
-				eject(now, target, "it answers nothing");
+				eject(now, target, "it does not answer");
 			}
 			for (InFlightAttempt attempt : List.copyOf(target.inFlightAttempts())) {
 				if (attempt.expiresAt() <= now) {
@@ -86,8 +86,8 @@
 			return;
 		}
 		if (target.shouldLogCapWarning(now)) {
-			logDecision(target.id(), "is kept in use although " + reason
-					+ ": the share of ejected targets is at its bound, so the fault is probably common to all");
+			logDecision(target.id(), "is not ejected although " + reason
+					+ ": the share of ejected targets is at its limit, so the fault probably affects all targets");
 		}
 	}
 
--- a/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
+++ b/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
@@ -94,12 +94,12 @@
 			return;
 		}
 		if (this.history.isKnownNotRun(attempt)) {
-			refuse(call, "it had been given up or refused before this copy came");
+			refuse(call, "it was cancelled or refused before this copy arrived");
 			return;
 		}
 		if (!this.history.hasCapacity()) {
 			this.commands.add(new SlotCommand.AnswerBroken(call.entry(), call.request(), call.attempt(),
-					"the target's memory of attempts is full, so that it cannot promise that no copy runs"));
+					"the target's history of attempts is full, so it cannot guarantee that no copy runs"));
 			return;
 		}
 		String refusalReason = refusalReason(now, call);
@@ -124,7 +124,7 @@
 
 	private String refusalReason(long now, SlotEvent.CallReceived call) {
 		if (this.draining) {
-			return "the target is leaving";
+			return "the target is draining";
 		}
 		if (!this.zone.acceptsWork()) {
 			return "the zone is out of service";
