--- a/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
+++ b/core/src/main/java/org/almondmount/gang/impl/MemberRecord.java
@@ -129,7 +129,7 @@
 	}
 
 	boolean canCheckpoint() {
-		return this.spec.isEmpty() || this.spec.get().checkpoints();
+		return this.spec.isEmpty() || this.spec.get().savesCheckpoints();
 	}
 
 	Optional<HeldMember> toHeldMember() {
--- a/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
+++ b/core/src/main/java/org/almondmount/intake/IntakeRefusal.java
@@ -1,45 +1,45 @@
 package org.almondmount.intake;
 
 /**
- * Why a job was not accepted, with what its caller can do.
+ * Reasons for not accepting a job, with the remedy for the caller.
  */
 public enum IntakeRefusal {
 
-	/** The store answers nobody here. */
-	STORE_SILENT("the store does not answer; hand the job in again after the time to come back", true),
+	/** The store does not answer this entry. */
+	STORE_SILENT("the store does not answer; submit the job again after the retry-after time", true),
 
-	/** The store answers, and takes nothing from this entry. */
-	STORE_TURNS_AWAY("the store takes nothing from this entry; hand the job in again, it may reach another entry",
+	/** The store answers but accepts no jobs from this entry. */
+	STORE_TURNS_AWAY("the store accepts no jobs from this entry; submit the job again, it may reach another entry",
 			true),
 
-	/** More jobs wait for the store than this entry keeps. */
-	TOO_MANY_WAIT("too many jobs wait for the store here; hand the job in again after the time to come back", false),
+	/** The number of jobs that wait for the store has reached the limit of this entry. */
+	TOO_MANY_WAIT("too many jobs wait for the store here; submit the job again after the retry-after time", false),
 
-	/** This entry ends or has too much to do. */
-	BUSY("this entry takes no more work; hand the job in again, it may reach another entry", false),
+	/** This entry is shutting down or overloaded. */
+	BUSY("this entry accepts no more jobs; submit the job again, it may reach another entry", false),
 
-	/** The job was sent to the store, and no answer came. */
-	UNSETTLED("nobody can tell whether the job was accepted; hand the same job in again to settle it", true);
+	/** The job was sent to the store and no answer arrived. */
+	UNSETTLED("it is not known whether the job was accepted; submit the same job again to find out", true);
 
 	private final String remedy;
 
-	private final boolean waited;
+	private final boolean hasWaited;
 
 	IntakeRefusal(String remedy, boolean waited) {
 		this.remedy = remedy;
-		this.waited = waited;
+		this.hasWaited = waited;
 	}
 
 	/**
-	 * Whether its caller waited in the line before it was refused.
-	 * @return whether it did
+	 * Whether the job waited in the queue before it was refused.
+	 * @return true if it waited
 	 */
-	public boolean waited() {
-		return this.waited;
+	public boolean hasWaited() {
+		return this.hasWaited;
 	}
 
 	/**
-	 * What is wrong and what to do, for people.
+	 * A description of the problem and its remedy for people.
 	 * @return one sentence
 	 */
 	public String remedy() {
--- a/core/src/main/java/org/almondmount/model/Adjacency.java
+++ b/core/src/main/java/org/almondmount/model/Adjacency.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * How close together the members of a gang have to be, from closest to loosest.
+ * Required proximity of the members of a gang, from closest to loosest.
  */
 public enum Adjacency {
 
@@ -18,16 +18,16 @@
 	ANY;
 
 	/**
-	 * Whether two workers are close enough to hold members of the same gang.
-	 * @param one the first worker
-	 * @param other the second worker
-	 * @return true when the pair satisfies this adjacency
+	 * Whether two workers are close enough to run members of the same gang.
+	 * @param first the first worker
+	 * @param second the second worker
+	 * @return true if the pair satisfies this adjacency
 	 */
-	public boolean joins(WorkerInfo one, WorkerInfo other) {
+	public boolean isSatisfiedBy(WorkerInfo first, WorkerInfo second) {
 		return switch (this) {
-			case WORKER -> one.id().equals(other.id());
-			case RACK -> one.zone().equals(other.zone()) && one.rack().equals(other.rack());
-			case ZONE -> one.zone().equals(other.zone());
+			case WORKER -> first.id().equals(second.id());
+			case RACK -> first.zone().equals(second.zone()) && first.rack().equals(second.rack());
+			case ZONE -> first.zone().equals(second.zone());
 			case ANY -> true;
 		};
 	}
--- a/core/src/main/java/org/almondmount/model/CustomerId.java
+++ b/core/src/main/java/org/almondmount/model/CustomerId.java
@@ -1,14 +1,14 @@
 package org.almondmount.model;
 
 /**
- * The name of a customer: whoever holds guarantees and submits work.
+ * The name of a customer, which owns guarantees and submits work.
  *
  * @param value the name
  */
 public record CustomerId(String value) implements Comparable<CustomerId> {
 
 	public CustomerId {
-		Names.require("customer", value);
+		Identifiers.require("customer", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/EntryId.java
+++ b/core/src/main/java/org/almondmount/model/EntryId.java
@@ -1,14 +1,14 @@
 package org.almondmount.model;
 
 /**
- * The name of one run of an entry process; a restarted entry has a new one.
+ * The name of an entry process; it changes with each restart.
  *
  * @param value the name
  */
 public record EntryId(String value) implements Comparable<EntryId> {
 
 	public EntryId {
-		Names.require("entry", value);
+		Identifiers.require("entry", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/JobId.java
+++ b/core/src/main/java/org/almondmount/model/JobId.java
@@ -1,14 +1,14 @@
 package org.almondmount.model;
 
 /**
- * The identifier of a job, chosen by the entry that accepted it.
+ * The identifier of a job, assigned by the entry that accepted it.
  *
  * @param value the identifier
  */
 public record JobId(String value) implements Comparable<JobId> {
 
 	public JobId {
-		Names.require("job", value);
+		Identifiers.require("job", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/model/Refusal.java
+++ b/core/src/main/java/org/almondmount/model/Refusal.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * A refusal as the caller gets it.
+ * A refusal as returned to the caller.
  *
- * @param reason the kind
- * @param ran what the caller can rely on
- * @param detail what was found, in one sentence
- * @param retryAfter when to come back; zero where waiting does not help
+ * @param reason the reason
+ * @param runState whether the refused work may have run
+ * @param detail the details, in one sentence
+ * @param retryAfter the time after which to retry; zero if waiting does not help
  */
-public record Refusal(RefusalReason reason, RunState ran, String detail, Duration retryAfter) {
+public record Refusal(RefusalReason reason, RunState runState, String detail, Duration retryAfter) {
 
 	public Refusal {
 		if (retryAfter.isNegative()) {
-			throw new InvalidValueException("retryAfter", "is negative; give zero where waiting does not help");
+			throw new InvalidValueException("retryAfter", "is negative; give zero if waiting does not help");
 		}
 	}
 
 	/**
-	 * A refusal of something that did not run and never will.
-	 * @param reason the kind
-	 * @param detail what was found
+	 * Creates a refusal of work that did not run and never will.
+	 * @param reason the reason
+	 * @param detail the details
 	 * @return the refusal
 	 */
 	public static Refusal notRun(RefusalReason reason, String detail) {
@@ -29,9 +29,9 @@
 	}
 
 	/**
-	 * A refusal of something that may have run.
-	 * @param reason the kind
-	 * @param detail what was found
+	 * Creates a refusal of work that may have run.
+	 * @param reason the reason
+	 * @param detail the details
 	 * @return the refusal
 	 */
 	public static Refusal mayHaveRun(RefusalReason reason, String detail) {
@@ -39,11 +39,11 @@
 	}
 
 	public Refusal withRetryAfter(Duration time) {
-		return new Refusal(this.reason, this.ran, this.detail, time);
+		return new Refusal(this.reason, this.runState, this.detail, time);
 	}
 
 	/**
-	 * The sentence for people: what was found and the remedy.
+	 * The message for people: the details and the remedy.
 	 * @return one sentence
 	 */
 	public String message() {
--- a/core/src/main/java/org/almondmount/model/RunState.java
+++ b/core/src/main/java/org/almondmount/model/RunState.java
@@ -1,7 +1,7 @@
 package org.almondmount.model;
 
 /**
- * What a caller can rely on about work that did not end with an answer.
+ * Whether work that completed without an answer may have run.
  */
 public enum RunState {
 
@@ -11,18 +11,18 @@
 	/** It may have run, may still run, or may have run in part. */
 	MAY_HAVE_RUN("may-have-run");
 
-	private final String word;
+	private final String externalName;
 
-	RunState(String word) {
-		this.word = word;
+	RunState(String externalName) {
+		this.externalName = externalName;
 	}
 
 	/**
-	 * The word used in answers.
-	 * @return the word
+	 * The name used in answers.
+	 * @return the name
 	 */
-	public String word() {
-		return this.word;
+	public String externalName() {
+		return this.externalName;
 	}
 
 }
--- a/core/src/main/java/org/almondmount/model/ZoneId.java
+++ b/core/src/main/java/org/almondmount/model/ZoneId.java
@@ -1,14 +1,14 @@
 package org.almondmount.model;
 
 /**
- * The name of an availability zone, as its operators write it.
+ * The name of an availability zone, as written by operators.
  *
  * @param value the name, such as {@code lulea-a}
  */
 public record ZoneId(String value) implements Comparable<ZoneId> {
 
 	public ZoneId {
-		Names.require("availability zone", value);
+		Identifiers.require("availability zone", value);
 	}
 
 	@Override
--- a/core/src/main/java/org/almondmount/requests/impl/RouterState.java
+++ b/core/src/main/java/org/almondmount/requests/impl/RouterState.java
@@ -13,7 +13,7 @@
 import org.almondmount.requests.RequestPolicy;
 
 /**
- * What the parts of the router share. Not thread-safe.
+ * State shared by the components of the router. Not thread-safe.
  */
 final class RouterState {
 
@@ -21,9 +21,9 @@
 
 	private final Map<RequestId, RequestRecord> requests = new HashMap<>();
 
-	private final Journal journal = new Journal();
+	private final ExplanationLog explanationLog = new ExplanationLog();
 
-	private final RetryBudget budget;
+	private final RetryBudget retryBudget;
 
 	private final TargetTable targets;
 
@@ -35,7 +35,7 @@
 
 	RouterState(RequestPolicy policy, RandomGenerator random) {
 		this.policy = policy;
-		this.budget = new RetryBudget(policy.retryRatio(), policy.retryReserve());
+		this.retryBudget = new RetryBudget(policy.retryRatio(), policy.retryReserve());
 		this.targets = new TargetTable(policy, random);
 		this.queue = new FairQueue(this::weight);
 	}
@@ -48,12 +48,12 @@
 		return this.requests;
 	}
 
-	Journal journal() {
-		return this.journal;
+	ExplanationLog explanationLog() {
+		return this.explanationLog;
 	}
 
-	RetryBudget budget() {
-		return this.budget;
+	RetryBudget retryBudget() {
+		return this.retryBudget;
 	}
 
 	TargetTable targets() {
@@ -66,21 +66,21 @@
 
 	/**
 	 * The accepted configuration.
-	 * @return it, or null before the first
+	 * @return the configuration, or {@code null} before the first one
 	 */
 	Configuration configuration() {
 		return this.configuration;
 	}
 
-	// A holder of an old configuration may still be heard; going back would put a zone in
-	// service again that operators took out.
-	void accept(Configuration offered) {
+	// A process with an outdated configuration may still send it. Accepting a lower
+	// revision could put a zone back in service that operators took out.
+	void acceptConfiguration(Configuration offered) {
 		if (this.configuration == null || offered.revision() >= this.configuration.revision()) {
 			this.configuration = offered;
 		}
 	}
 
-	void command(RequestCommand command) {
+	void addCommand(RequestCommand command) {
 		this.commands.add(command);
 	}
 
--- a/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetHealth.java
@@ -7,11 +7,11 @@
 import org.almondmount.requests.RequestEvent.AnswerKind;
 
 /**
- * Ejects targets that err or stall, and says so. Not thread-safe.
+ * Ejects targets that fail or stall and logs these decisions. Not thread-safe.
  * <p>
- * A target that fails fast looks idle and draws all requests to it. Taking it out for a
- * while ends that; the cap on the share that is out at the same time keeps a fault that
- * is common to all from taking all out.
+ * A target that fails fast appears idle and attracts all requests, so it is ejected for a
+ * limited time. The cap on the share of ejected targets prevents a fault that all targets
+ * have in common from ejecting all of them.
  */
 final class TargetHealth {
 
@@ -21,79 +21,78 @@
 		this.state = state;
 	}
 
-	void answered(long now, TargetId id, AnswerKind kind) {
+	void onAnswered(long now, TargetId id, AnswerKind kind) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target == null) {
 			return;
 		}
 		if (kind == AnswerKind.ERROR) {
-			failed(now, target, "it failed several requests in a row");
+			recordFailure(now, target, "several consecutive requests failed");
 			return;
 		}
 		if (target.probing()) {
-			explain(id, "answers again and is back in use");
+			logDecision(id, "answers again; its ejection is over");
 		}
-		target.succeeded();
+		target.recordSuccess();
 	}
 
-	// A target whose instance stands still refuses at once, so that it always has a free
-	// slot here and draws more requests than any other: each of them costs a retry, and
-	// the retry budget runs out for everybody. Slots are lent, so that a healthy target
-	// hardly ever refuses; several refusals in a row are as good a sign as errors.
-	void refused(long now, TargetId id) {
+	// A target whose instance has stalled refuses immediately, so it always has a free
+	// slot here and attracts more requests than any other. Each of them costs a retry,
+	// which exhausts the retry budget for all customers. Since slots are lent, a healthy
+	// target rarely refuses; consecutive refusals therefore count as errors.
+	void onRefused(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
-			failed(now, target, "it refused several requests in a row");
+			recordFailure(now, target, "it refused several consecutive requests");
 		}
 	}
 
-	void broken(long now, TargetId id) {
+	void onBroken(long now, TargetId id) {
 		TargetRecord target = this.state.targets().get(id);
 		if (target != null) {
-			failed(now, target, "its instance broke off several requests in a row");
+			recordFailure(now, target, "its instance returned no complete answer to several consecutive requests");
 		}
 	}
 
 	/**
-	 * Looks for targets that answer nothing, and frees slots of attempts about which
-	 * nothing will be heard.
+	 * Ejects unresponsive targets and releases the slots of expired attempts.
 	 * @param now the time
 	 */
 	void sweep(long now) {
 		for (TargetRecord target : this.state.targets().all()) {
-			target.reopen();
-			if (!target.ejected(now) && target.stalled(now)) {
-				eject(now, target, "it answers nothing");
+			target.clearConnectionFull();
+			if (!target.isEjected(now) && target.isStalled(now)) {
+				eject(now, target, "it does not answer");
 			}
-			for (Flight flight : List.copyOf(target.flights())) {
-				if (flight.expiresAt() <= now) {
-					target.drop(flight);
-					this.state.queue().ended(flight.customer(), now - flight.sentAt(), false);
+			for (InFlightAttempt attempt : List.copyOf(target.inFlightAttempts())) {
+				if (attempt.expiresAt() <= now) {
+					target.removeAttempt(attempt);
+					this.state.queue().onAttemptEnded(attempt.customer(), now - attempt.sentAt(), false);
 				}
 			}
 		}
 	}
 
-	private void failed(long now, TargetRecord target, String why) {
-		if (target.failed() && !target.ejected(now)) {
-			eject(now, target, why);
+	private void recordFailure(long now, TargetRecord target, String reason) {
+		if (target.recordFailure() && !target.isEjected(now)) {
+			eject(now, target, reason);
 		}
 	}
 
-	private void eject(long now, TargetRecord target, String why) {
+	private void eject(long now, TargetRecord target, String reason) {
 		if (this.state.targets().mayEject(now)) {
-			long time = target.eject(now);
-			explain(target.id(), "is ejected for " + time + " ms because " + why);
+			long ejectionMillis = target.eject(now);
+			logDecision(target.id(), "is ejected for " + ejectionMillis + " ms because " + reason);
 			return;
 		}
-		if (target.mayComplain(now)) {
-			explain(target.id(), "is kept in use although " + why
-					+ ": the share of ejected targets is at its bound, so the fault is probably common to all");
+		if (target.shouldLogCapWarning(now)) {
+			logDecision(target.id(), "is not ejected although " + reason
+					+ ": the share of ejected targets is at its limit, so the fault probably affects all targets");
 		}
 	}
 
-	private void explain(TargetId target, String what) {
-		this.state.command(new RequestCommand.Explain("target/" + target, "target " + target + " " + what));
+	private void logDecision(TargetId target, String message) {
+		this.state.addCommand(new RequestCommand.LogDecision("target/" + target, "target " + target + " " + message));
 	}
 
 }
--- a/core/src/main/java/org/almondmount/requests/impl/TargetTable.java
+++ b/core/src/main/java/org/almondmount/requests/impl/TargetTable.java
@@ -15,7 +15,7 @@
 import org.almondmount.requests.RequestPolicy;
 
 /**
- * The targets and the choice among them. Not thread-safe.
+ * Holds the targets and selects among them. Not thread-safe.
  */
 final class TargetTable {
 
@@ -53,17 +53,17 @@
 	}
 
 	/**
-	 * Whether the target may get new work at all, now or when a slot is free.
+	 * Whether the target can be sent new requests, now or as soon as a slot is free.
 	 * @param configuration the accepted configuration
 	 * @param target the target
-	 * @return true if it may
+	 * @return true if it can
 	 */
 	boolean mayServe(Configuration configuration, TargetRecord target) {
-		return target.slots() > 0 && mayServeOnceItLends(configuration, target);
+		return target.slots() > 0 && mayServeOnceSlotsAreLent(configuration, target);
 	}
 
-	private static boolean mayServeOnceItLends(Configuration configuration, TargetRecord target) {
-		return !target.leaving() && configuration.zone(target.zone()).acceptsWork();
+	private static boolean mayServeOnceSlotsAreLent(Configuration configuration, TargetRecord target) {
+		return !target.draining() && configuration.zone(target.zone()).acceptsWork();
 	}
 
 	boolean anyMayServe(Configuration configuration) {
@@ -76,21 +76,22 @@
 	}
 
 	/**
-	 * Whether a target is left that was not tried. One that has just joined counts though
-	 * it has lent no slots yet: it lends them once other entries have given them back,
-	 * some milliseconds later. During a rolling restart it may be the only one, and a
-	 * request that the leaving one did not start would be refused beside it.
+	 * Whether there is a target that was not tried. A target that has just joined counts
+	 * even if it has not lent any slots yet: it lends them some milliseconds later, when
+	 * other entries have returned them. During a rolling restart it may be the only
+	 * target, and a request that the draining target did not start would otherwise be
+	 * refused.
 	 * @param now the time
 	 * @param configuration the accepted configuration
-	 * @param tried targets to leave out
+	 * @param triedTargets the targets to exclude
 	 * @return true if there is one
 	 */
-	boolean anyUntried(long now, Configuration configuration, Set<TargetId> tried) {
-		long joinedSince = now - this.policy.noTargetWait().toMillis();
+	boolean anyUntried(long now, Configuration configuration, Set<TargetId> triedTargets) {
+		long joinedAfterMillis = now - this.policy.noTargetTimeout().toMillis();
 		for (TargetRecord target : this.targets.values()) {
 			boolean serves = mayServe(configuration, target)
-					|| mayServeOnceItLends(configuration, target) && target.joinedAt() > joinedSince;
-			if (serves && !tried.contains(target.id())) {
+					|| mayServeOnceSlotsAreLent(configuration, target) && target.joinedAt() > joinedAfterMillis;
+			if (serves && !triedTargets.contains(target.id())) {
 				return true;
 			}
 		}
@@ -98,32 +99,33 @@
 	}
 
 	/**
-	 * Whether targets are there that only their zone's state keeps from serving.
+	 * Whether there are targets that cannot serve only because their zone is out of
+	 * service.
 	 * @param configuration the accepted configuration
-	 * @return true if a zone that is out is the reason
+	 * @return true if there is such a target
 	 */
-	boolean anyInZoneOut(Configuration configuration) {
+	boolean anyExcludedByZoneState(Configuration configuration) {
 		for (TargetRecord target : this.targets.values()) {
-			if (!target.leaving() && !configuration.zone(target.zone()).acceptsWork()) {
+			if (!target.draining() && !configuration.zone(target.zone()).acceptsWork()) {
 				return true;
 			}
 		}
 		return false;
 	}
 
-	int slots(long now, Configuration configuration) {
+	int usableSlots(long now, Configuration configuration) {
 		int slots = 0;
 		for (TargetRecord target : this.targets.values()) {
-			if (mayServe(configuration, target) && !target.ejected(now)) {
+			if (mayServe(configuration, target) && !target.isEjected(now)) {
 				slots += target.slots();
 			}
 		}
 		return slots;
 	}
 
-	boolean anyRoom(long now, Configuration configuration) {
+	boolean anyFreeSlot(long now, Configuration configuration) {
 		for (TargetRecord target : this.targets.values()) {
-			if (mayServe(configuration, target) && !target.ejected(now) && target.hasRoom(now)) {
+			if (mayServe(configuration, target) && !target.isEjected(now) && target.hasFreeSlot(now)) {
 				return true;
 			}
 		}
@@ -131,53 +133,54 @@
 	}
 
 	/**
-	 * Chooses a target with a free slot: the less loaded of two taken at random, in the
-	 * entry's own zone if there is one.
+	 * Selects a target with a free slot by the power of two random choices, preferring
+	 * targets in the entry's own zone.
 	 * @param now the time
 	 * @param configuration the accepted configuration
-	 * @param tried targets to leave out
-	 * @return the target, or empty if none has room
+	 * @param triedTargets the targets to exclude
+	 * @return the target, or empty if none has a free slot
 	 */
-	Optional<TargetRecord> choose(long now, Configuration configuration, Set<TargetId> tried) {
-		List<TargetRecord> near = new ArrayList<>();
-		List<TargetRecord> far = new ArrayList<>();
+	Optional<TargetRecord> choose(long now, Configuration configuration, Set<TargetId> triedTargets) {
+		List<TargetRecord> inOwnZone = new ArrayList<>();
+		List<TargetRecord> inOtherZones = new ArrayList<>();
 		for (TargetRecord target : this.targets.values()) {
-			if (!mayServe(configuration, target) || target.ejected(now) || !target.hasRoom(now)
-					|| tried.contains(target.id())) {
+			if (!mayServe(configuration, target) || target.isEjected(now) || !target.hasFreeSlot(now)
+					|| triedTargets.contains(target.id())) {
 				continue;
 			}
-			boolean own = this.policy.ownZone().isPresent() && this.policy.ownZone().get().equals(target.zone());
-			(own ? near : far).add(target);
+			boolean isOwnZone = this.policy.ownZone().isPresent() && this.policy.ownZone().get().equals(target.zone());
+			(isOwnZone ? inOwnZone : inOtherZones).add(target);
 		}
-		return near.isEmpty() ? lessLoadedOfTwo(now, far) : lessLoadedOfTwo(now, near);
+		return inOwnZone.isEmpty() ? lessLoadedOfTwo(now, inOtherZones) : lessLoadedOfTwo(now, inOwnZone);
 	}
 
 	/**
-	 * Whether one more target may be ejected; at least one always may if there are two.
+	 * Whether another target may be ejected. With two or more targets at least one may be
+	 * ejected.
 	 * @param now the time
-	 * @return false when the share that is ejected is at its bound
+	 * @return false if the share of ejected targets is at its limit
 	 */
 	boolean mayEject(long now) {
-		int ejected = 0;
+		int ejectedCount = 0;
 		for (TargetRecord target : this.targets.values()) {
-			if (target.ejected(now)) {
-				ejected++;
+			if (target.isEjected(now)) {
+				ejectedCount++;
 			}
 		}
-		int most = (int) Math.floor(this.targets.size() * this.policy.targets().maxEjectedShare());
+		int maxEjected = (int) Math.floor(this.targets.size() * this.policy.targets().maxEjectedShare());
 		if (this.targets.size() > 1) {
-			most = Math.max(1, most);
+			maxEjected = Math.max(1, maxEjected);
 		}
-		return ejected < most;
+		return ejectedCount < maxEjected;
 	}
 
 	private Optional<TargetRecord> lessLoadedOfTwo(long now, List<TargetRecord> candidates) {
 		if (candidates.isEmpty()) {
 			return Optional.empty();
 		}
-		TargetRecord one = candidates.get(this.random.nextInt(candidates.size()));
-		TargetRecord other = candidates.get(this.random.nextInt(candidates.size()));
-		return Optional.of((other.load(now) < one.load(now)) ? other : one);
+		TargetRecord first = candidates.get(this.random.nextInt(candidates.size()));
+		TargetRecord second = candidates.get(this.random.nextInt(candidates.size()));
+		return Optional.of((second.load(now) < first.load(now)) ? second : first);
 	}
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -179,7 +179,7 @@
 	 */
 	public CompletableFuture<Boolean> awaitConfigured(OptionalLong timeout) {
 		CompletableFuture<Boolean> outcome = new CompletableFuture<>();
-		long timeoutMillis = timeout.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
+		long timeoutMillis = timeout.orElse(IntakePolicy.DEFAULT.defaultTimeoutMillis());
 		boolean accepted = this.loop.execute(() -> addConfigurationWaiter(timeoutMillis, outcome));
 		if (!accepted) {
 			outcome.complete(false);
@@ -195,12 +195,12 @@
 	 */
 	public CompletableFuture<Submission> submit(Workflow job, OptionalLong timeout) {
 		CompletableFuture<Submission> outcome = new CompletableFuture<>();
-		long timeoutMillis = timeout.orElse(IntakePolicy.DEFAULT.usualPatienceMillis());
+		long timeoutMillis = timeout.orElse(IntakePolicy.DEFAULT.defaultTimeoutMillis());
 		boolean accepted = this.loop
 			.execute(() -> this.intake.submit(job, timeoutMillis).thenAccept(outcome::complete));
 		if (!accepted) {
 			outcome.complete(new Submission.Refused(IntakeRefusal.BUSY,
-					IntakePolicy.DEFAULT.comeBackAfter(IntakeRefusal.BUSY, timeoutMillis)));
+					IntakePolicy.DEFAULT.retryAfter(IntakeRefusal.BUSY, timeoutMillis)));
 		}
 		return outcome;
 	}
@@ -308,12 +308,12 @@
 			outcome.complete(true);
 			return;
 		}
-		if (this.configurationWaiters.size() >= IntakePolicy.DEFAULT.mostWaiting()) {
+		if (this.configurationWaiters.size() >= IntakePolicy.DEFAULT.maxWaiting()) {
 			outcome.complete(false);
 			return;
 		}
 		this.configurationWaiters.add(outcome);
-		this.loop.schedule(IntakePolicy.DEFAULT.waitsUntil(0, timeoutMillis, false), () -> {
+		this.loop.schedule(IntakePolicy.DEFAULT.waitDeadline(0, timeoutMillis, false), () -> {
 			this.configurationWaiters.remove(outcome);
 			outcome.complete(false);
 		});
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
@@ -14,8 +14,8 @@
 import org.almondmount.fleet.EventLoop;
 import org.almondmount.fleet.Submission;
 import org.almondmount.fleet.Tables;
-import org.almondmount.intake.IntakeLine;
 import org.almondmount.intake.IntakePolicy;
+import org.almondmount.intake.IntakeQueue;
 import org.almondmount.intake.IntakeRefusal;
 import org.almondmount.rows.RowStore;
 import org.almondmount.rows.RowStore.Condition;
@@ -93,7 +93,7 @@
 
 	private final IntakePolicy policy = IntakePolicy.DEFAULT;
 
-	private final IntakeLine<IntakeAttempt> queue = new IntakeLine<>(this.policy.mostWaiting());
+	private final IntakeQueue<IntakeAttempt> queue = new IntakeQueue<>(this.policy.maxWaiting());
 
 	/**
 	 * Jobs for which it is unknown whether they were accepted, oldest first.
@@ -243,7 +243,7 @@
 		}
 		Optional<String> peer = this.storeGossip.mayReachStore(attempt::mayForwardTo);
 		long remainingMillis = attempt.remainingMillis(this.loop.steadyMillis());
-		if (peer.isPresent() && remainingMillis > this.policy.wayBackMillis()) {
+		if (peer.isPresent() && remainingMillis > this.policy.responseMarginMillis()) {
 			forward(attempt, peer.get());
 			return;
 		}
@@ -251,7 +251,7 @@
 	}
 
 	private void enqueue(IntakeAttempt attempt) {
-		long expiresAtMillis = this.policy.waitsUntil(attempt.arrivedMillis(), attempt.timeoutMillis(),
+		long expiresAtMillis = this.policy.waitDeadline(attempt.arrivedMillis(), attempt.timeoutMillis(),
 				attempt.unsettled());
 		if (attempt.receivedFromPeer() || this.loop.steadyMillis() >= expiresAtMillis) {
 			abandon(attempt);
@@ -361,7 +361,7 @@
 			attempt.markUnsettled();
 		}
 		IntakeRefusal reason = attempt.reason();
-		Duration retryAfter = this.policy.comeBackAfter(reason, attempt.remainingMillis(nowMillis));
+		Duration retryAfter = this.policy.retryAfter(reason, attempt.remainingMillis(nowMillis));
 		this.telemetry.count(attempt.unsettled() ? "jobs.unsettled" : "jobs.refused");
 		this.telemetry.count(REFUSALS_METRIC, reason);
 		LOG.warn("job-not-accepted", "job", attempt.job().id(), "outcome", reason, "why", attempt.detail(),
