--- a/fleet/src/test/java/org/almondmount/fleet/StorePatienceTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/StorePatienceTests.java
@@ -8,29 +8,29 @@
 
 	private final AdaptiveStoreTimeout patience = new AdaptiveStoreTimeout();
 
-	// All entries were started anew at the same time. The first answer takes 200 ms, most
-	// of it in the process itself; callers were refused because it had been given up.
+	// After a simultaneous restart of all entries the first answer takes 200 ms, most of
+	// it in the process itself. A shorter timeout abandons that call and refuses callers.
 	@Test
-	void aProcessThatHasJustStartedWaitsLonger() {
+	void timeoutIsLongerBeforeTheFirstAnswer() {
 		assertThat(this.patience.timeout().toMillis()).isGreaterThanOrEqualTo(500);
 	}
 
 	@Test
-	void aQuickStoreIsGivenUpQuickly() {
-		answers(20, 4);
+	void timeoutIsShortForAFastStore() {
+		recordAnswers(20, 4);
 		assertThat(this.patience.timeout().toMillis()).isEqualTo(150);
 	}
 
 	@Test
-	void aSlowStoreIsWaitedFor() {
-		answers(20, 4);
-		answers(20, 300);
+	void timeoutGrowsForASlowStore() {
+		recordAnswers(20, 4);
+		recordAnswers(20, 300);
 		assertThat(this.patience.timeout().toMillis()).isEqualTo(1_200);
 	}
 
 	@Test
-	void eachSilenceDoublesTheTime() {
-		answers(20, 4);
+	void eachUnansweredCallDoublesTheTimeout() {
+		recordAnswers(20, 4);
 		this.patience.onTimeout();
 		assertThat(this.patience.timeout().toMillis()).isEqualTo(300);
 		this.patience.onTimeout();
@@ -38,7 +38,7 @@
 	}
 
 	@Test
-	void silenceIsExpectedUntilAnAnswer() {
+	void silenceIsExpectedUntilTheNextAnswer() {
 		assertThat(this.patience.isSilenceExpected()).isFalse();
 		this.patience.onTimeout();
 		assertThat(this.patience.isSilenceExpected()).isTrue();
@@ -48,7 +48,7 @@
 		assertThat(this.patience.isSilenceExpected()).isFalse();
 	}
 
-	private void answers(int count, long millis) {
+	private void recordAnswers(int count, long millis) {
 		for (int i = 0; i < count; i++) {
 			this.patience.onAnswer(millis);
 		}
--- a/fleet/src/test/java/org/almondmount/fleet/entry/IntakeAttemptTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/entry/IntakeAttemptTests.java
@@ -12,9 +12,9 @@
 
 class IntakeAttemptTests {
 
-	// Guards against an outage in which each job is passed on to every entry.
+	// Guards against forwarding each job to every entry during an outage.
 	@Test
-	void aJobIsPassedOnToAFewEntriesEachOnce() {
+	void aJobIsForwardedToAFewEntriesOnceEach() {
 		IntakeAttempt attempt = attempt(false);
 		for (String address : List.of("a:1", "b:1", "c:1")) {
 			assertThat(attempt.mayForwardTo(address)).isTrue();
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void aJobThatCameFromAnotherEntryIsNotPassedOn() {
+	void aForwardedJobIsNotForwardedAgain() {
 		assertThat(attempt(true).mayForwardTo("a:1")).isFalse();
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/target/HolderSearchTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/target/HolderSearchTests.java
@@ -12,50 +12,51 @@
 
 class HolderSearchTests {
 
-	private static final int ENTRIES = 15;
+	private static final int ENTRY_COUNT = 15;
 
-	private static final int TARGETS = 80;
+	private static final int TARGET_COUNT = 80;
 
 	private final List<String> dialled = new ArrayList<>();
 
-	// All power is back, and every process starts with cold code on a slow machine. Each
-	// entry was dialled by each target at once; it was busy with that for seconds, in
-	// which callers got no answer and the term no holder.
+	// Guards against targets that all dial every entry when power returns everywhere at
+	// once. Processes then run cold code on slow machines, and each entry is busy with
+	// the dials for seconds, in which callers get no answer and the term has no holder.
 	@Test
 	void targetsThatStartTogetherAreSpreadOverTheEntries() {
 		Map<String, Integer> dials = new HashMap<>();
-		for (int target = 0; target < TARGETS; target++) {
+		for (int target = 0; target < TARGET_COUNT; target++) {
 			search("target-" + target).dialNextEntries();
 		}
 		this.dialled.forEach((address) -> dials.merge(address, 1, Integer::sum));
-		assertThat(this.dialled).hasSize(2 * TARGETS);
-		assertThat(dials.values()).allMatch((count) -> count < TARGETS / 2);
+		assertThat(this.dialled).hasSize(2 * TARGET_COUNT);
+		assertThat(dials.values()).allMatch((count) -> count < TARGET_COUNT / 2);
 	}
 
-	// The entries that were dialled first may be gone, or cut off from the holder.
+	// The entries that were dialled first may be down or disconnected from the holder.
 	@Test
-	void everyEntryIsDialledInTheEnd() {
+	void everyEntryIsDialledEventually() {
 		HolderSearch search = search("target");
-		for (int turn = 0; turn < 4 * ENTRIES; turn++) {
+		for (int round = 0; round < 4 * ENTRY_COUNT; round++) {
 			search.dialNextEntries();
 		}
-		assertThat(this.dialled).doesNotHaveDuplicates().hasSize(ENTRIES);
+		assertThat(this.dialled).doesNotHaveDuplicates().hasSize(ENTRY_COUNT);
 	}
 
 	@Test
-	void anEntryThatDoesNotAnswerTheDialMakesRoomForAnother() {
+	void anEntryThatDoesNotAnswerIsReplacedByAnother() {
 		HolderSearch search = search("target");
 		search.dialNextEntries();
 		List<String> first = List.copyOf(this.dialled);
 		first.forEach(search::dialFailed);
-		search.replaceAddresses(others(first));
+		search.replaceAddresses(addressesWithout(first));
 		search.dialNextEntries();
 		assertThat(this.dialled).hasSize(4).doesNotHaveDuplicates();
 	}
 
-	// An entry that is not the holder says who is; nothing waits for a turn.
+	// An entry that is not the holder announces the holder, which is dialled without
+	// waiting for the next search.
 	@Test
-	void aHolderThatIsNamedIsDialledAtOnce() {
+	void anAnnouncedHolderIsDialledImmediately() {
 		HolderSearch search = search("target");
 		search.dialNextEntries();
 		search.dial("10.0.0.99:7700");
@@ -64,14 +65,14 @@
 
 	private HolderSearch search(String target) {
 		HolderSearch search = new HolderSearch(target, this.dialled::add);
-		search.addAddresses(others(List.of()));
+		search.addAddresses(addressesWithout(List.of()));
 		return search;
 	}
 
-	private static List<String> others(List<String> without) {
-		return IntStream.range(0, ENTRIES)
+	private static List<String> addressesWithout(List<String> excluded) {
+		return IntStream.range(0, ENTRY_COUNT)
 			.mapToObj((number) -> "10.0.0." + number + ":7700")
-			.filter((address) -> !without.contains(address))
+			.filter((address) -> !excluded.contains(address))
 			.toList();
 	}
 
