--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimulatedLoop.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimulatedLoop.java
@@ -75,7 +75,7 @@
 
 	@Override
 	public boolean execute(Runnable work) {
-		this.clock.scheduleAfter(0, () -> execute(work));
+		this.clock.scheduleAfter(0, () -> runWhenIdle(work));
 		return true;
 	}
 
@@ -85,14 +85,14 @@
 			if (this.dead) {
 				return;
 			}
-			execute(work);
+			runWhenIdle(work);
 			scheduleRepeatedly(intervalMillis, work);
 		});
 	}
 
 	@Override
 	public void schedule(long delayMillis, Runnable work) {
-		this.clock.scheduleAfter(delayMillis, () -> execute(work));
+		this.clock.scheduleAfter(delayMillis, () -> runWhenIdle(work));
 	}
 
 	@Override
@@ -100,7 +100,7 @@
 		kill();
 	}
 
-	private void execute(Runnable work) {
+	private void runWhenIdle(Runnable work) {
 		if (this.dead) {
 			return;
 		}
@@ -109,7 +109,7 @@
 			return;
 		}
 		if (this.clock.now() < this.busyUntilMillis) {
-			this.clock.scheduleAt(this.busyUntilMillis, () -> execute(work));
+			this.clock.scheduleAt(this.busyUntilMillis, () -> runWhenIdle(work));
 			return;
 		}
 		work.run();
