--- a/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
+++ b/core/src/main/java/org/almondmount/requests/impl/Dispatcher.java
@@ -27,10 +27,10 @@
 
 	private boolean budgetExhausted;
 
-	Dispatcher(RouterState state, Admission admission, RequestCompletion endings) {
+	Dispatcher(RouterState state, Admission admission, RequestCompletion completion) {
 		this.state = state;
 		this.admission = admission;
-		this.completion = endings;
+		this.completion = completion;
 	}
 
 	/**
--- a/core/src/main/java/org/almondmount/slots/impl/AttemptHistory.java
+++ b/core/src/main/java/org/almondmount/slots/impl/AttemptHistory.java
@@ -24,9 +24,9 @@
 
 	private final Deque<RecordedAttempt> expiryOrder = new ArrayDeque<>();
 
-	AttemptHistory(long rememberMillis, int most) {
-		this.retentionMillis = rememberMillis;
-		this.maxAttempts = most;
+	AttemptHistory(long retentionMillis, int maxAttempts) {
+		this.retentionMillis = retentionMillis;
+		this.maxAttempts = maxAttempts;
 	}
 
 	boolean hasRun(AttemptKey attempt) {
--- a/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
+++ b/core/src/main/java/org/almondmount/slots/impl/DefaultSlotGate.java
@@ -114,10 +114,10 @@
 
 	private void onCallCancelled(long now, SlotEvent.CallCancelled call) {
 		AttemptKey attempt = new AttemptKey(call.request(), call.attempt());
-		boolean known = this.running.containsKey(attempt) || this.history.hasRun(attempt);
+		boolean wasStarted = this.running.containsKey(attempt) || this.history.hasRun(attempt);
 		// An entry never reports a cancelled attempt as not run, so the cancellation may
 		// be dropped when the history is full.
-		if (!known && this.history.hasCapacity()) {
+		if (!wasStarted && this.history.hasCapacity()) {
 			this.history.record(now, attempt, false);
 		}
 	}
--- a/core/src/test/java/org/almondmount/intake/IntakeQueueTests.java
+++ b/core/src/test/java/org/almondmount/intake/IntakeQueueTests.java
@@ -13,18 +13,18 @@
 		this.queue.add(2, 100, "old");
 		this.queue.add(0, 100, "urgent");
 		this.queue.add(2, 50, "new");
-		assertThat(this.queue.takeFirst((one) -> true)).contains("urgent");
-		assertThat(this.queue.takeFirst((one) -> true)).contains("old");
-		assertThat(this.queue.takeFirst((one) -> true)).contains("new");
-		assertThat(this.queue.takeFirst((one) -> true)).isEmpty();
+		assertThat(this.queue.takeFirst((value) -> true)).contains("urgent");
+		assertThat(this.queue.takeFirst((value) -> true)).contains("old");
+		assertThat(this.queue.takeFirst((value) -> true)).contains("new");
+		assertThat(this.queue.takeFirst((value) -> true)).isEmpty();
 	}
 
 	@Test
 	void anItemThatIsNotReadyKeepsItsPosition() {
 		this.queue.add(0, 100, "first");
 		this.queue.add(1, 100, "second");
-		assertThat(this.queue.takeFirst((one) -> one.equals("second"))).contains("second");
-		assertThat(this.queue.takeFirst((one) -> true)).contains("first");
+		assertThat(this.queue.takeFirst((value) -> value.equals("second"))).contains("second");
+		assertThat(this.queue.takeFirst((value) -> true)).contains("first");
 	}
 
 	@Test
--- a/core/src/test/java/org/almondmount/requests/RequestOutcomeProperties.java
+++ b/core/src/test/java/org/almondmount/requests/RequestOutcomeProperties.java
@@ -240,7 +240,7 @@
 			}
 
 			private void end(RequestId request) {
-				assertThat(Simulation.this.ended.add(request)).as("first ending of %s", request).isTrue();
+				assertThat(Simulation.this.ended.add(request)).as("first outcome of %s", request).isTrue();
 			}
 
 		}
