--- a/bench/src/main/java/org/almondmount/bench/wire/WireSlope.java
+++ b/bench/src/main/java/org/almondmount/bench/wire/WireSlope.java
@@ -29,7 +29,7 @@
 import org.almondmount.wire.PeerInfo;
 import org.almondmount.wire.PeerListener;
 import org.almondmount.wire.PeerSettings;
-import org.almondmount.wire.impl.NettyWire;
+import org.almondmount.wire.impl.NettyWireEndpoint;
 
 /**
  * One side of many light connections: {@code entry N} accepts, {@code target N PORT}
@@ -55,7 +55,7 @@
 
 	private final IoThreads io = new IoThreads("wire", 1);
 
-	private final NettyWire wire = new NettyWire(this.io, this.telemetry);
+	private final NettyWireEndpoint wire = new NettyWireEndpoint(this.io, this.telemetry);
 
 	private final Set<PeerConnection> open = ConcurrentHashMap.newKeySet();
 
@@ -152,12 +152,12 @@
 	private final class Listener implements PeerListener {
 
 		@Override
-		public void opened(PeerConnection connection) {
+		public void onConnected(PeerConnection connection) {
 			WireSlope.this.open.add(connection);
 		}
 
 		@Override
-		public void received(PeerConnection connection, Message message) {
+		public void onMessage(PeerConnection connection, Message message) {
 			if (message instanceof Message.Heartbeat heartbeat) {
 				connection.send(new Message.HeartbeatReply(heartbeat.sequence(), 7, 3_000, List.of(ATTEMPT), List.of(),
 						List.of("10.0.0.7:7000", "10.0.0.8:7000")));
@@ -165,7 +165,7 @@
 		}
 
 		@Override
-		public void closed(PeerConnection connection, CloseReason reason) {
+		public void onDisconnected(PeerConnection connection, CloseReason reason) {
 			WireSlope.this.open.remove(connection);
 		}
 
--- a/daemon/src/main/java/org/almondmount/daemon/cli/TargetCommand.java
+++ b/daemon/src/main/java/org/almondmount/daemon/cli/TargetCommand.java
@@ -11,7 +11,7 @@
 import org.almondmount.settings.TargetSettings;
 import org.almondmount.settings.impl.SettingsReader;
 import org.almondmount.telemetry.Telemetry;
-import org.almondmount.wire.impl.NettyWire;
+import org.almondmount.wire.impl.NettyWireEndpoint;
 import org.kohsuke.args4j.Option;
 
 /**
@@ -42,7 +42,7 @@
 		NettyHttpClient instance = new NettyHttpClient(io, settings.connections(), largestAnswer);
 		NettyHttpClient worker = new NettyHttpClient(io, WORKER_CONNECTIONS, largestAnswer);
 		TargetDaemon daemon = new TargetDaemon(settings, instance, new HttpWorkerClient(worker, settings.workerApi()),
-				new NettyWire(io, telemetry), telemetry);
+				new NettyWireEndpoint(io, telemetry), telemetry);
 		daemon.start();
 		Lifetime.untilTold(daemon::drain, settings.timing().drain());
 		return ExitStatus.DONE;
--- a/daemon/src/main/java/org/almondmount/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/EntryDaemon.java
@@ -31,7 +31,7 @@
 import org.almondmount.telemetry.EventLog;
 import org.almondmount.wire.PeerInfo;
 import org.almondmount.wire.WireEndpoint;
-import org.almondmount.wire.impl.NettyWire;
+import org.almondmount.wire.impl.NettyWireEndpoint;
 
 /**
  * An entry: takes callers' and operators' calls, routes requests to targets and, while it
@@ -83,7 +83,7 @@
 
 	private volatile HttpServer server;
 
-	private volatile WireEndpoint.Listening peers;
+	private volatile WireEndpoint.ListeningSocket peers;
 
 	/**
 	 * Makes an entry; {@link #start()} begins it.
@@ -105,7 +105,7 @@
 		this.controlBox = new Mailbox("control", RING, runtime.telemetry());
 		this.storeBox = new Mailbox("store", RING, runtime.telemetry());
 		this.requests = requests();
-		this.wire = new NettyWire(runtime.io(), runtime.telemetry());
+		this.wire = new NettyWireEndpoint(runtime.io(), runtime.telemetry());
 		this.self = new PeerInfo(PeerInfo.Role.ENTRY, id.value(), this.context.peerAddress(), settings.zone().value(),
 				Optional.empty(), 0, System.currentTimeMillis());
 		this.control = new ControlShell(this.context, this.controlBox, this.storeBox, this.requests, this::dial);
--- a/daemon/src/main/java/org/almondmount/daemon/entry/calls/RequestShell.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/calls/RequestShell.java
@@ -235,10 +235,10 @@
 			answered(target, answer);
 		}
 		else if (message instanceof Message.CallNotStarted not) {
-			feed(new RequestEvent.NotStarted(not.request(), not.attempt(), target, not.why()));
+			feed(new RequestEvent.NotStarted(not.request(), not.attempt(), target, not.reason()));
 		}
 		else if (message instanceof Message.CallBroken broken) {
-			feed(new RequestEvent.Broken(broken.request(), broken.attempt(), target, broken.why()));
+			feed(new RequestEvent.Broken(broken.request(), broken.attempt(), target, broken.reason()));
 		}
 		else if (message instanceof Message.SlotsLent lent) {
 			feed(new RequestEvent.TargetSlots(target, lent.slots()));
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/EntryTalk.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/EntryTalk.java
@@ -50,7 +50,7 @@
 		this.configuration.current().ifPresent((now) -> connection.send(new Message.ConfigurationPush(now)));
 		this.holder.holder()
 			.ifPresent((entry) -> connection
-				.send(new Message.HolderIs(entry, this.holder.epoch(), this.holder.address())));
+				.send(new Message.HolderAnnouncement(entry, this.holder.epoch(), this.holder.address())));
 	}
 
 	void closed(PeerConnection connection) {
@@ -66,7 +66,7 @@
 			this.configuration.revisionSeen(reply.revision(), connection.peer().name());
 			named(reply.entries());
 		}
-		else if (message instanceof Message.HolderIs is) {
+		else if (message instanceof Message.HolderAnnouncement is) {
 			this.holder.heard(is.holder(), is.epoch(), is.address());
 			named(List.of(is.address()));
 		}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/PeerDispatcher.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/PeerDispatcher.java
@@ -37,7 +37,7 @@
 	}
 
 	@Override
-	public void opened(PeerConnection connection) {
+	public void onConnected(PeerConnection connection) {
 		LOG.info("peer-opened", "role", connection.peer().role(), "peer", connection.peer().name(), "address",
 				connection.peer().address());
 		if (isTarget(connection)) {
@@ -47,9 +47,9 @@
 	}
 
 	@Override
-	public void closed(PeerConnection connection, CloseReason reason) {
+	public void onDisconnected(PeerConnection connection, CloseReason reason) {
 		LOG.info("peer-closed", "role", connection.peer().role(), "peer", connection.peer().name(), "reason",
-				reason.word());
+				reason.externalName());
 		if (isTarget(connection)) {
 			this.requests.targetClosed(connection);
 		}
@@ -57,7 +57,7 @@
 	}
 
 	@Override
-	public void received(PeerConnection connection, Message message) {
+	public void onMessage(PeerConnection connection, Message message) {
 		boolean taken = true;
 		if (isTarget(connection) && concernsRequests(message)) {
 			taken = this.requests.received(connection, message);
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/SchedulerTerm.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/SchedulerTerm.java
@@ -139,7 +139,7 @@
 		if (message instanceof Message.MemberEnded ended) {
 			this.reportedOver.computeIfAbsent(worker, (id) -> new LinkedHashSet<>()).add(ended.attempt());
 			this.driver.expected().over(ended.attempt(), ended.member());
-			this.driver.feed(new JobEvent.MemberEnded(ended.attempt(), ended.member(), ended.ending()));
+			this.driver.feed(new JobEvent.MemberEnded(ended.attempt(), ended.member(), ended.outcome()));
 		}
 		else if (message instanceof Message.MemberUsage usage) {
 			this.driver.feed(new JobEvent.MemberUsage(usage.attempt(), usage.member(), usage.used()));
@@ -154,7 +154,7 @@
 			case PREPARED -> new JobEvent.MemberPrepared(report.attempt(), report.member());
 			case REFUSED -> {
 				this.driver.expected().over(report.attempt(), report.member());
-				yield new JobEvent.MemberRefused(report.attempt(), report.member(), report.why());
+				yield new JobEvent.MemberRefused(report.attempt(), report.member(), report.reason());
 			}
 			case STARTED -> new JobEvent.MemberStarted(report.attempt(), report.member());
 			case CHECKPOINTED -> new JobEvent.MemberCheckpointed(report.attempt(), report.member());
--- a/daemon/src/main/java/org/almondmount/daemon/entry/shell/Mailbox.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/shell/Mailbox.java
@@ -1,6 +1,6 @@
 package org.almondmount.daemon.entry.shell;
 
-import org.almondmount.duty.Duty;
+import org.almondmount.concurrent.EventProcessor;
 import org.almondmount.telemetry.EventLog;
 import org.almondmount.telemetry.Telemetry;
 
@@ -22,7 +22,7 @@
 
 	private final int outsideLimit;
 
-	private final Duty<Runnable> duty;
+	private final EventProcessor<Runnable> duty;
 
 	/**
 	 * Makes a mailbox; {@link #start()} begins its duty.
@@ -34,8 +34,8 @@
 		this.name = name;
 		this.telemetry = telemetry;
 		this.outsideLimit = capacity / 4 * 3;
-		this.duty = new Duty<>(name, capacity, Runnable::run, this::fault);
-		telemetry.gauge("ring." + name, () -> this.duty.waiting());
+		this.duty = new EventProcessor<>(name, capacity, Runnable::run, this::fault);
+		telemetry.gauge("ring." + name, () -> this.duty.queuedCount());
 	}
 
 	/** Begins the duty. */
@@ -49,7 +49,7 @@
 	 * @return false when it was not taken
 	 */
 	public boolean offer(Runnable work) {
-		return this.duty.waiting() < this.outsideLimit && this.duty.offer(work);
+		return this.duty.queuedCount() < this.outsideLimit && this.duty.offer(work);
 	}
 
 	/**
--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDaemon.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDaemon.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-import org.almondmount.duty.Duty;
+import org.almondmount.concurrent.EventProcessor;
 import org.almondmount.gang.MemberKeeper;
 import org.almondmount.gang.MemberKeeperFactory;
 import org.almondmount.gang.MemberPolicy;
@@ -59,7 +59,7 @@
 
 	private final PeerInfo self;
 
-	private final Duty<TargetSignal> duty;
+	private final EventProcessor<TargetSignal> duty;
 
 	private final TargetDecisions decisions;
 
@@ -88,7 +88,8 @@
 		long incarnation = System.currentTimeMillis();
 		this.self = new PeerInfo(PeerInfo.Role.TARGET, name, "", settings.worker().zone().value(),
 				Optional.of(settings.worker()), settings.slots(), incarnation);
-		this.duty = new Duty<>("decisions", RING, this::decide, (fault) -> LOG.fault("decisions-fault", fault));
+		this.duty = new EventProcessor<>("decisions", RING, this::decide,
+				(fault) -> LOG.fault("decisions-fault", fault));
 		this.ticks = Executors.newSingleThreadScheduledExecutor(TargetDaemon::tickThread);
 		this.entries = new EntryDirectory(settings.balancer(), new SplittableRandom(name.hashCode() ^ incarnation));
 		Consumer<TargetSignal> signals = this::must;
@@ -182,14 +183,14 @@
 	private final class Listener implements PeerListener {
 
 		@Override
-		public void opened(PeerConnection connection) {
+		public void onConnected(PeerConnection connection) {
 			TargetDaemon.this.connections.add(connection);
 			must(new TargetSignal.Opened(connection));
 		}
 
 		@Override
-		public void received(PeerConnection connection, Message message) {
-			boolean room = TargetDaemon.this.duty.waiting() < RING - RESERVED;
+		public void onMessage(PeerConnection connection, Message message) {
+			boolean room = TargetDaemon.this.duty.queuedCount() < RING - RESERVED;
 			if (room && TargetDaemon.this.duty.offer(new TargetSignal.Received(connection, message))) {
 				return;
 			}
@@ -204,7 +205,7 @@
 		}
 
 		@Override
-		public void closed(PeerConnection connection, CloseReason reason) {
+		public void onDisconnected(PeerConnection connection, CloseReason reason) {
 			TargetDaemon.this.connections.remove(connection);
 			must(new TargetSignal.Closed(connection, reason));
 		}
--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
@@ -145,7 +145,7 @@
 	private void closed(long now, PeerConnection connection, CloseReason reason) {
 		Optional<EntryLink> link = this.entries.closed(now, connection);
 		if (link.isPresent()) {
-			LOG.warn("entry-lost", "entry", link.get().entry(), "reason", reason.word());
+			LOG.warn("entry-lost", "entry", link.get().entry(), "reason", reason.externalName());
 			this.slots.handle(now, new SlotEvent.EntryLost(link.get().entry()));
 		}
 	}
@@ -197,9 +197,10 @@
 		}
 		this.slots.handle(now, new SlotEvent.LoanSeen(link.entry(), beat.get().loans()));
 		reply.entries().forEach((address) -> this.entries.heardOf(now, address));
-		reply.forgotten().forEach((attempt) -> this.members.handle(now, new MemberEvent.Forgotten(attempt)));
+		reply.recordedAttempts().forEach((attempt) -> this.members.handle(now, new MemberEvent.Forgotten(attempt)));
 		long age = now - beat.get().sentAt();
-		reply.wholeAttempts().forEach((attempt) -> this.members.handle(now, new MemberEvent.WholeHeard(attempt, age)));
+		reply.fullyRunningAttempts()
+			.forEach((attempt) -> this.members.handle(now, new MemberEvent.WholeHeard(attempt, age)));
 		boolean behind = !this.configurationKnown || reply.revision() > this.configuration.revision();
 		if (behind) {
 			if (link.mayAskForConfiguration(now, ASK_CONFIGURATION_EVERY_MILLIS)) {
--- a/daemon/src/test/java/org/almondmount/daemon/entry/FakeTarget.java
+++ b/daemon/src/test/java/org/almondmount/daemon/entry/FakeTarget.java
@@ -26,7 +26,7 @@
 import org.almondmount.wire.PeerInfo;
 import org.almondmount.wire.PeerListener;
 import org.almondmount.wire.PeerSettings;
-import org.almondmount.wire.impl.NettyWire;
+import org.almondmount.wire.impl.NettyWireEndpoint;
 
 /**
  * A target that a test plays: it lends slots, answers calls, holds and runs members as
@@ -63,7 +63,7 @@
 	FakeTarget connect(InetSocketAddress entry, PeerSettings settings) {
 		PeerInfo self = new PeerInfo(PeerInfo.Role.TARGET, this.worker.id().value(), "", this.worker.zone().value(),
 				Optional.of(this.worker), 8, 1);
-		new NettyWire(this.io, new Telemetry()).dial(entry, self, settings, this).join();
+		new NettyWireEndpoint(this.io, new Telemetry()).dial(entry, self, settings, this).join();
 		return this;
 	}
 
@@ -94,7 +94,7 @@
 	}
 
 	@Override
-	public void opened(PeerConnection open) {
+	public void onConnected(PeerConnection open) {
 		this.connection = open;
 		open.send(new Message.SlotsLent(8));
 		this.beat = this.io.next()
@@ -103,7 +103,7 @@
 	}
 
 	@Override
-	public void received(PeerConnection from, Message message) {
+	public void onMessage(PeerConnection from, Message message) {
 		if (!(message instanceof Message.HeartbeatReply)) {
 			this.heard.add(message);
 		}
@@ -127,7 +127,7 @@
 	}
 
 	@Override
-	public void closed(PeerConnection gone, CloseReason reason) {
+	public void onDisconnected(PeerConnection gone, CloseReason reason) {
 		this.beat.cancel(false);
 	}
 
--- a/daemon/src/test/java/org/almondmount/daemon/target/FakeEntry.java
+++ b/daemon/src/test/java/org/almondmount/daemon/target/FakeEntry.java
@@ -29,7 +29,7 @@
 
 	private final AtomicReference<PeerConnection> connection = new AtomicReference<>();
 
-	private final WireEndpoint.Listening listening;
+	private final WireEndpoint.ListeningSocket listening;
 
 	private final List<String> known = new CopyOnWriteArrayList<>();
 
@@ -80,12 +80,12 @@
 	}
 
 	@Override
-	public void opened(PeerConnection opened) {
+	public void onConnected(PeerConnection opened) {
 		this.connection.set(opened);
 	}
 
 	@Override
-	public void received(PeerConnection from, Message message) {
+	public void onMessage(PeerConnection from, Message message) {
 		this.heard.add(message);
 		if (message instanceof Message.Heartbeat beat && this.answers) {
 			from.send(new Message.HeartbeatReply(beat.sequence(), this.configuration.revision(), 3_000, List.of(),
@@ -97,7 +97,7 @@
 	}
 
 	@Override
-	public void closed(PeerConnection gone, CloseReason reason) {
+	public void onDisconnected(PeerConnection gone, CloseReason reason) {
 		this.connection.compareAndSet(gone, null);
 	}
 
--- a/daemon/src/test/java/org/almondmount/daemon/target/TargetDaemonTests.java
+++ b/daemon/src/test/java/org/almondmount/daemon/target/TargetDaemonTests.java
@@ -33,7 +33,7 @@
 import org.almondmount.wire.Message;
 import org.almondmount.wire.PeerSettings;
 import org.almondmount.wire.WireEndpoint;
-import org.almondmount.wire.impl.NettyWire;
+import org.almondmount.wire.impl.NettyWireEndpoint;
 import org.awaitility.Awaitility;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -54,7 +54,7 @@
 
 	private final Telemetry telemetry = new Telemetry();
 
-	private final WireEndpoint wire = new NettyWire(this.io, this.telemetry);
+	private final WireEndpoint wire = new NettyWireEndpoint(this.io, this.telemetry);
 
 	private final List<HttpExchange> instance = new CopyOnWriteArrayList<>();
 
--- a/fleet/src/main/java/org/almondmount/fleet/ThreadLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/ThreadLoop.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-import org.almondmount.duty.Duty;
+import org.almondmount.concurrent.EventProcessor;
 import org.almondmount.telemetry.EventLog;
 
 /**
@@ -18,7 +18,7 @@
 
 	private static final int RING = 1 << 14;
 
-	private final Duty<Runnable> duty = new Duty<>("decisions", RING, Runnable::run,
+	private final EventProcessor<Runnable> duty = new EventProcessor<>("decisions", RING, Runnable::run,
 			(fault) -> LOG.fault("decision-fault", fault));
 
 	private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor((work) -> {
@@ -47,7 +47,7 @@
 		if (this.duty.offer(work)) {
 			return true;
 		}
-		LOG.warn("ring-full", "waiting", this.duty.waiting());
+		LOG.warn("ring-full", "waiting", this.duty.queuedCount());
 		return false;
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -92,7 +92,7 @@
 
 	private volatile FleetConfiguration configuration = FleetConfiguration.NONE;
 
-	private volatile WireEndpoint.Listening listening;
+	private volatile WireEndpoint.ListeningSocket listening;
 
 	private int turn;
 
@@ -355,7 +355,7 @@
 	}
 
 	private void closed(PeerConnection connection, CloseReason reason) {
-		LOG.info("peer-lost", "peer", connection.peer().name(), "reason", reason.word());
+		LOG.info("peer-lost", "peer", connection.peer().name(), "reason", reason.externalName());
 		if (connection.peer().role() == PeerInfo.Role.TARGET) {
 			this.targets.closed(connection);
 			return;
@@ -390,7 +390,7 @@
 	// up.
 	private void holderWord(PeerInfo peer, Message.EntryHeartbeat word) {
 		if (word.holder()) {
-			this.term.holderHeard(word.epoch(), word.commit(), peer.name(), peer.address());
+			this.term.holderHeard(word.epoch(), word.lastCommit(), peer.name(), peer.address());
 		}
 		else if (word.epoch() > 0) {
 			this.term.holderQuit(word.epoch());
@@ -454,19 +454,19 @@
 	private final class Listener implements PeerListener {
 
 		@Override
-		public void opened(PeerConnection connection) {
+		public void onConnected(PeerConnection connection) {
 			FleetEntry.this.loop.run(() -> FleetEntry.this.opened(connection));
 		}
 
 		@Override
-		public void received(PeerConnection connection, Message message) {
+		public void onMessage(PeerConnection connection, Message message) {
 			if (!FleetEntry.this.loop.run(() -> FleetEntry.this.received(connection, message))) {
 				connection.close(CloseReason.LOCAL);
 			}
 		}
 
 		@Override
-		public void closed(PeerConnection connection, CloseReason reason) {
+		public void onDisconnected(PeerConnection connection, CloseReason reason) {
 			FleetEntry.this.loop.run(() -> FleetEntry.this.closed(connection, reason));
 		}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/HolderDesk.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/HolderDesk.java
@@ -241,11 +241,11 @@
 						workerAnswers ? this.leaseMillis : 0);
 			}
 		}
-		else if (message instanceof Message.WorkerTold told && this.loaded) {
+		else if (message instanceof Message.WorkerStatus told && this.loaded) {
 			feed(new WorkflowEvent.WorkerReported(told.report()));
 		}
-		else if (message instanceof Message.RunNotBegun refused && this.loaded) {
-			feed(new WorkflowEvent.RunRefused(target, refused.task(), refused.run(), refused.why()));
+		else if (message instanceof Message.RunNotStarted refused && this.loaded) {
+			feed(new WorkflowEvent.RunRefused(target, refused.task(), refused.run(), refused.reason()));
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
@@ -101,7 +101,7 @@
 	private void tellHolder(PeerConnection connection) {
 		connection.send(new Message.EntryHeartbeat(0, 0, this.holderEpoch, this.holderEpoch != 0));
 		if (this.holderEpoch == 0 && this.holder != null) {
-			connection.send(new Message.HolderIs(new EntryId(this.holder.holder()), this.holder.epoch(),
+			connection.send(new Message.HolderAnnouncement(new EntryId(this.holder.holder()), this.holder.epoch(),
 					this.holder.address()));
 		}
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetOrders.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetOrders.java
@@ -49,7 +49,7 @@
 		}
 		long epoch = this.term.epoch();
 		if (!this.targets.send(ends.target(),
-				(heartbeat) -> new Message.EndsKept(epoch, ends.incarnation(), ends.upToSequence()))) {
+				(heartbeat) -> new Message.EndsRecorded(epoch, ends.incarnation(), ends.upToSequence()))) {
 			this.telemetry.count(UNDELIVERED, UndeliveredReason.TARGET_NOT_CONNECTED);
 		}
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
+++ b/fleet/src/main/java/org/almondmount/fleet/rehearsal/FleetRehearsal.java
@@ -23,7 +23,7 @@
 import org.almondmount.fleet.target.FleetTarget;
 import org.almondmount.net.IoThreads;
 import org.almondmount.telemetry.Telemetry;
-import org.almondmount.wire.impl.NettyWire;
+import org.almondmount.wire.impl.NettyWireEndpoint;
 import org.almondmount.workflow.Checkpointing;
 import org.almondmount.workflow.FleetConfiguration;
 import org.almondmount.workflow.FleetCustomer;
@@ -83,7 +83,7 @@
 		this.first = entry("entry-1");
 		this.second = entry("entry-2");
 		this.target = new FleetTarget(settings("target"), new MemoryWorker(LIFE), this.store,
-				new NettyWire(this.io, this.telemetry), this.targetLoop, new Telemetry());
+				new NettyWireEndpoint(this.io, this.telemetry), this.targetLoop, new Telemetry());
 	}
 
 	private void announce() {
@@ -126,8 +126,8 @@
 	}
 
 	private FleetEntry entry(String name) throws IOException {
-		return new FleetEntry(settings(name), this.store, new Declared(), new NettyWire(this.io, this.telemetry),
-				new ThreadLoop(), new Telemetry());
+		return new FleetEntry(settings(name), this.store, new Declared(),
+				new NettyWireEndpoint(this.io, this.telemetry), new ThreadLoop(), new Telemetry());
 	}
 
 	private static FleetSettings settings(String name) throws IOException {
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -157,11 +157,11 @@
 			send(new Message.TargetAlive(heartbeat.heartbeat()));
 		}
 		else if (command instanceof WorkerCommand.SendReport report) {
-			send(new Message.WorkerTold(report.report()));
+			send(new Message.WorkerStatus(report.report()));
 		}
 		else if (command instanceof WorkerCommand.SendNotBegun refused) {
 			LOG.info("run-not-begun", "task", refused.task(), "run", refused.run(), "why", refused.why());
-			send(new Message.RunNotBegun(refused.task(), refused.run(), refused.why()));
+			send(new Message.RunNotStarted(refused.task(), refused.run(), refused.why()));
 		}
 		else if (command instanceof WorkerCommand.IgnoreOrder ignored) {
 			this.telemetry.count(IGNORED, ignored.why());
@@ -226,7 +226,7 @@
 		if (message instanceof Message.EntryHeartbeat word) {
 			holderWord(connection, word);
 		}
-		else if (message instanceof Message.HolderIs is) {
+		else if (message instanceof Message.HolderAnnouncement is) {
 			if (this.search.holder().isEmpty()) {
 				this.search.dial(is.address());
 			}
@@ -254,20 +254,20 @@
 			feed(new WorkerEvent.Granted(granted.epoch(), granted.heartbeat(), granted.leaseMillis()));
 		}
 		else if (message instanceof Message.RunStart start) {
-			feed(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.life(), start.task(), start.run(),
-					start.program(), start.checkpoint(), start.capacity()));
+			feed(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.incarnation(), start.task(),
+					start.run(), start.program(), start.checkpoint(), start.capacity()));
 		}
 		else if (message instanceof Message.RunStop stop) {
-			feed(new WorkerEvent.StopOrdered(stop.epoch(), stop.life(), stop.task(), stop.run()));
+			feed(new WorkerEvent.StopOrdered(stop.epoch(), stop.incarnation(), stop.task(), stop.run()));
 		}
-		else if (message instanceof Message.EndsKept kept) {
-			feed(new WorkerEvent.EndsKept(kept.epoch(), kept.life(), kept.upTo()));
+		else if (message instanceof Message.EndsRecorded kept) {
+			feed(new WorkerEvent.EndsKept(kept.epoch(), kept.incarnation(), kept.upTo()));
 		}
 	}
 
 	private void closed(PeerConnection connection, CloseReason reason) {
 		if (this.search.closed(connection)) {
-			holderGone(reason.word());
+			holderGone(reason.externalName());
 		}
 	}
 
@@ -283,19 +283,19 @@
 	private final class Listener implements PeerListener {
 
 		@Override
-		public void opened(PeerConnection connection) {
+		public void onConnected(PeerConnection connection) {
 			FleetTarget.this.loop.run(() -> FleetTarget.this.search.opened(connection));
 		}
 
 		@Override
-		public void received(PeerConnection connection, Message message) {
+		public void onMessage(PeerConnection connection, Message message) {
 			if (!FleetTarget.this.loop.run(() -> FleetTarget.this.received(connection, message))) {
 				connection.close(CloseReason.LOCAL);
 			}
 		}
 
 		@Override
-		public void closed(PeerConnection connection, CloseReason reason) {
+		public void onDisconnected(PeerConnection connection, CloseReason reason) {
 			FleetTarget.this.loop.run(() -> FleetTarget.this.closed(connection, reason));
 		}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWire.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWire.java
@@ -102,12 +102,12 @@
 		}
 
 		@Override
-		public CompletableFuture<Listening> listen(InetSocketAddress address, PeerInfo info, PeerSettings settings,
-				PeerListener accepted) {
+		public CompletableFuture<ListeningSocket> listen(InetSocketAddress address, PeerInfo info,
+				PeerSettings settings, PeerListener accepted) {
 			this.self = info;
 			this.listener = accepted;
 			SimWire.this.listeners.put(address, this);
-			return CompletableFuture.completedFuture(new Listening() {
+			return CompletableFuture.completedFuture(new ListeningSocket() {
 
 				@Override
 				public InetSocketAddress address() {
@@ -182,7 +182,7 @@
 		void begin() {
 			this.owner.open.add(this);
 			this.heard = SimWire.this.time.now();
-			this.listener.opened(this);
+			this.listener.onConnected(this);
 			watch();
 		}
 
@@ -217,7 +217,7 @@
 			if (!this.closed && !this.owner.dead) {
 				this.heard = SimWire.this.time.now();
 				SimWire.this.watcher.accept(this.owner.vm, message);
-				this.listener.received(this, message);
+				this.listener.onMessage(this, message);
 			}
 		}
 
@@ -235,7 +235,7 @@
 				this.closed = true;
 				this.owner.open.remove(this);
 				if (!this.owner.dead) {
-					this.listener.closed(this, reason);
+					this.listener.onDisconnected(this, reason);
 				}
 			}
 		}
--- a/runtime/src/main/java/org/almondmount/duty/Duty.java
+++ b/runtime/src/main/java/org/almondmount/concurrent/EventProcessor.java
@@ -1,4 +1,4 @@
-package org.almondmount.duty;
+package org.almondmount.concurrent;
 
 import java.lang.invoke.VarHandle;
 import java.util.concurrent.locks.LockSupport;
@@ -14,17 +14,17 @@
  *
  * @param <E> what the duty takes
  */
-public final class Duty<E> implements AutoCloseable {
+public final class EventProcessor<E> implements AutoCloseable {
 
-	private static final long LONGEST_NAP_NANOS = 1_000_000_000L;
+	private static final long MAX_PARK_NANOS = 1_000_000_000L;
 
-	private final MpscArrayQueue<E> ring;
+	private final MpscArrayQueue<E> queue;
 
-	private final Consumer<E> work;
+	private final Consumer<E> handler;
 
-	private final Consumer<Throwable> faults;
+	private final Consumer<Throwable> faultHandler;
 
-	private final long napNanos;
+	private final long maxParkNanos;
 
 	private final Thread thread;
 
@@ -36,18 +36,19 @@
 	 * Makes a duty; {@link #start()} begins it.
 	 * @param name the thread's name
 	 * @param capacity the ring's size
-	 * @param work what is done with each element, on the duty's thread
-	 * @param faults told of anything that the work throws; the duty goes on
+	 * @param handler what is done with each element, on the duty's thread
+	 * @param faultHandler told of anything that the work throws; the duty goes on
 	 */
-	public Duty(String name, int capacity, Consumer<E> work, Consumer<Throwable> faults) {
-		this(name, capacity, work, faults, LONGEST_NAP_NANOS);
+	public EventProcessor(String name, int capacity, Consumer<E> handler, Consumer<Throwable> faultHandler) {
+		this(name, capacity, handler, faultHandler, MAX_PARK_NANOS);
 	}
 
-	Duty(String name, int capacity, Consumer<E> work, Consumer<Throwable> faults, long napNanos) {
-		this.napNanos = napNanos;
-		this.ring = new MpscArrayQueue<>(capacity);
-		this.work = work;
-		this.faults = faults;
+	EventProcessor(String name, int capacity, Consumer<E> handler, Consumer<Throwable> faultHandler,
+			long maxParkNanos) {
+		this.maxParkNanos = maxParkNanos;
+		this.queue = new MpscArrayQueue<>(capacity);
+		this.handler = handler;
+		this.faultHandler = faultHandler;
 		this.thread = new Thread(this::run, name);
 		this.thread.setDaemon(true);
 	}
@@ -62,7 +63,7 @@
 	 * @return false when the ring is full or the duty has ended; then it was not taken
 	 */
 	public boolean offer(E element) {
-		if (this.closed || !this.ring.offer(element)) {
+		if (this.closed || !this.queue.offer(element)) {
 			return false;
 		}
 		VarHandle.fullFence();
@@ -76,8 +77,8 @@
 	 * Elements that wait now.
 	 * @return a count
 	 */
-	public int waiting() {
-		return this.ring.size();
+	public int queuedCount() {
+		return this.queue.size();
 	}
 
 	/**
@@ -91,24 +92,24 @@
 
 	private void run() {
 		while (true) {
-			E element = this.ring.poll();
+			E element = this.queue.poll();
 			if (element != null) {
-				workOn(element);
+				handle(element);
 				continue;
 			}
 			if (this.closed) {
 				return;
 			}
-			nap();
+			park();
 		}
 	}
 
-	private void workOn(E element) {
+	private void handle(E element) {
 		try {
-			this.work.accept(element);
+			this.handler.accept(element);
 		}
 		catch (RuntimeException | Error ex) {
-			this.faults.accept(ex);
+			this.faultHandler.accept(ex);
 		}
 	}
 
@@ -116,11 +117,11 @@
 	// the nap's end. Whoever offers looks at the flag after its element is in the ring,
 	// and this side looks at the ring after raising the flag; the fences keep either from
 	// doing it the other way round, so that one of the two always sees the other.
-	private void nap() {
+	private void park() {
 		this.idle = true;
 		VarHandle.fullFence();
-		if (this.ring.isEmpty() && !this.closed) {
-			LockSupport.parkNanos(this.napNanos);
+		if (this.queue.isEmpty() && !this.closed) {
+			LockSupport.parkNanos(this.maxParkNanos);
 		}
 		this.idle = false;
 	}
--- a/runtime/src/main/java/org/almondmount/duty/package-info.java
+++ b/runtime/src/main/java/org/almondmount/concurrent/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Threads with one duty each, joined by bounded rings.
  */
-package org.almondmount.duty;
+package org.almondmount.concurrent;
--- a/runtime/src/main/java/org/almondmount/net/IoThreads.java
+++ b/runtime/src/main/java/org/almondmount/net/IoThreads.java
@@ -14,9 +14,9 @@
  */
 public final class IoThreads implements AutoCloseable {
 
-	private static final long QUIET_MILLIS = 0;
+	private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 0;
 
-	private static final long LONGEST_CLOSE_MILLIS = 2_000;
+	private static final long SHUTDOWN_TIMEOUT_MILLIS = 2_000;
 
 	private final EventLoopGroup group;
 
@@ -51,7 +51,7 @@
 	 */
 	@Override
 	public void close() {
-		this.group.shutdownGracefully(QUIET_MILLIS, LONGEST_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+		this.group.shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 }
--- a/runtime/src/main/java/org/almondmount/wire/CloseReason.java
+++ b/runtime/src/main/java/org/almondmount/wire/CloseReason.java
@@ -49,7 +49,7 @@
 	 * The reason as it stands in logs and counters.
 	 * @return the word
 	 */
-	public String word() {
+	public String externalName() {
 		return name().toLowerCase(Locale.ROOT).replace('_', '-');
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/Message.java
+++ b/runtime/src/main/java/org/almondmount/wire/Message.java
@@ -44,12 +44,14 @@
 	 * @param revision the sender's configuration revision
 	 * @param zonesFreshForMillis for how much longer the sender's view of zones may be
 	 * used to start work; 0 when it is too old
-	 * @param wholeAttempts attempts of the target's members whose gang is heard whole
-	 * @param forgotten attempts whose end has been recorded, so that reports can cease
+	 * @param fullyRunningAttempts attempts of the target's members whose gang is heard
+	 * whole
+	 * @param recordedAttempts attempts whose end has been recorded, so that reports can
+	 * cease
 	 * @param entries peer addresses ({@code ip:port}) of the entries known to the sender
 	 */
-	record HeartbeatReply(long sequence, long revision, long zonesFreshForMillis, List<Attempt> wholeAttempts,
-			List<Attempt> forgotten, List<String> entries) implements Message {
+	record HeartbeatReply(long sequence, long revision, long zonesFreshForMillis, List<Attempt> fullyRunningAttempts,
+			List<Attempt> recordedAttempts, List<String> entries) implements Message {
 	}
 
 	/**
@@ -59,10 +61,11 @@
 	 * @param revision the sender's configuration revision
 	 * @param epoch the highest epoch that the sender has seen
 	 * @param holder whether the sender holds the scheduler's lease under that epoch
-	 * @param commit the number of the holder's last commit that is in the store, 0 where
-	 * the sender does not say
+	 * @param lastCommit the number of the holder's last commit that is in the store, 0
+	 * where the sender does not say
 	 */
-	record EntryHeartbeat(long sequence, long revision, long epoch, boolean holder, long commit) implements Message {
+	record EntryHeartbeat(long sequence, long revision, long epoch, boolean holder,
+			long lastCommit) implements Message {
 
 		/**
 		 * A heartbeat that speaks of no commit.
@@ -118,11 +121,11 @@
 	}
 
 	/** Target to entry: it did not start and never will. */
-	record CallNotStarted(RequestId request, int attempt, String why) implements Message {
+	record CallNotStarted(RequestId request, int attempt, String reason) implements Message {
 	}
 
 	/** Target to entry: the instance may have run it and its ending is unknown. */
-	record CallBroken(RequestId request, int attempt, String why) implements Message {
+	record CallBroken(RequestId request, int attempt, String reason) implements Message {
 	}
 
 	/** Lease holder to target: hold room for a member. */
@@ -134,11 +137,11 @@
 	}
 
 	/** Target to every entry: what became of a member. */
-	record MemberReport(Attempt attempt, int member, Report report, String why) implements Message {
+	record MemberReport(Attempt attempt, int member, Report report, String reason) implements Message {
 	}
 
 	/** Target to every entry: a member's task is over. */
-	record MemberEnded(Attempt attempt, int member, JobOutcome ending) implements Message {
+	record MemberEnded(Attempt attempt, int member, JobOutcome outcome) implements Message {
 	}
 
 	/** Target to every entry: what a member used a while ago. */
@@ -164,7 +167,7 @@
 	}
 
 	/** Entry to entry: which entry holds the lease, as last heard. */
-	record HolderIs(EntryId holder, long epoch, String address) implements Message {
+	record HolderAnnouncement(EntryId holder, long epoch, String address) implements Message {
 	}
 
 	/** Target to the holder of the term: it lives; a grant repeats the number. */
@@ -183,11 +186,11 @@
 	}
 
 	/** Target to the holder of the term: its worker as it is now. */
-	record WorkerTold(WorkerReport report) implements Message {
+	record WorkerStatus(WorkerReport report) implements Message {
 	}
 
 	/** Target to the holder of the term: a run was not begun and never will be. */
-	record RunNotBegun(TaskId task, int run, String why) implements Message {
+	record RunNotStarted(TaskId task, int run, String reason) implements Message {
 	}
 
 	/**
@@ -195,23 +198,23 @@
 	 *
 	 * @param epoch the holder's epoch
 	 * @param heartbeat the last heartbeat that the holder has heard of the target
-	 * @param life the life of the worker that is meant
+	 * @param incarnation the life of the worker that is meant
 	 * @param task the task
 	 * @param run the run's number
 	 * @param program what to run
 	 * @param checkpoint where to go on, or empty
 	 * @param capacity the worker's capacity by which it was chosen
 	 */
-	record RunStart(long epoch, long heartbeat, WorkerIncarnation life, TaskId task, int run, String program,
+	record RunStart(long epoch, long heartbeat, WorkerIncarnation incarnation, TaskId task, int run, String program,
 			String checkpoint, ResourceAmount capacity) implements Message {
 	}
 
 	/** Holder of the term to target: end a run, or make sure that it never begins. */
-	record RunStop(long epoch, WorkerIncarnation life, TaskId task, int run) implements Message {
+	record RunStop(long epoch, WorkerIncarnation incarnation, TaskId task, int run) implements Message {
 	}
 
 	/** Holder of the term to target: ends up to that number are kept. */
-	record EndsKept(long epoch, WorkerIncarnation life, long upTo) implements Message {
+	record EndsRecorded(long epoch, WorkerIncarnation incarnation, long upTo) implements Message {
 	}
 
 	/** A kind that this version does not know; counted and otherwise ignored. */
--- a/runtime/src/main/java/org/almondmount/wire/PeerListener.java
+++ b/runtime/src/main/java/org/almondmount/wire/PeerListener.java
@@ -10,20 +10,20 @@
 	 * The handshake succeeded.
 	 * @param connection the connection
 	 */
-	void opened(PeerConnection connection);
+	void onConnected(PeerConnection connection);
 
 	/**
 	 * A message arrived.
 	 * @param connection its connection
 	 * @param message the message
 	 */
-	void received(PeerConnection connection, Message message);
+	void onMessage(PeerConnection connection, Message message);
 
 	/**
 	 * The connection is gone. Told exactly once for each that was opened.
 	 * @param connection the connection
 	 * @param reason why
 	 */
-	void closed(PeerConnection connection, CloseReason reason);
+	void onDisconnected(PeerConnection connection, CloseReason reason);
 
 }
--- a/runtime/src/main/java/org/almondmount/wire/WireEndpoint.java
+++ b/runtime/src/main/java/org/almondmount/wire/WireEndpoint.java
@@ -16,12 +16,12 @@
 	 * @param listener hears of each connection once its handshake is done
 	 * @return the bound place, or the failure to bind
 	 */
-	CompletableFuture<Listening> listen(InetSocketAddress address, PeerInfo self, PeerSettings settings,
+	CompletableFuture<ListeningSocket> listen(InetSocketAddress address, PeerInfo self, PeerSettings settings,
 			PeerListener listener);
 
 	/**
-	 * Opens one connection. The listener hears {@link PeerListener#opened} before the
-	 * future completes.
+	 * Opens one connection. The listener hears {@link PeerListener#onConnected} before
+	 * the future completes.
 	 * @param address where the peer listens
 	 * @param self what this process tells of itself
 	 * @param settings how the connection behaves
@@ -34,7 +34,7 @@
 	/**
 	 * A place where peers are accepted.
 	 */
-	interface Listening extends AutoCloseable {
+	interface ListeningSocket extends AutoCloseable {
 
 		/**
 		 * Where it listens.
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
@@ -20,14 +20,14 @@
 		super(maxFrameBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
 	}
 
-	void trust() {
+	void markTrusted() {
 		this.trusted = true;
 	}
 
 	@Override
 	protected long getUnadjustedFrameLength(ByteBuf buf, int offset, int length, ByteOrder order) {
 		long size = super.getUnadjustedFrameLength(buf, offset, length, order);
-		if (!this.trusted && size > Handshake.LARGEST_FRAME) {
+		if (!this.trusted && size > Handshake.MAX_FRAME_BYTES) {
 			throw new TooLongFrameException("a frame of " + size + " bytes before the handshake");
 		}
 		return size;
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameReader.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameReader.java
@@ -27,40 +27,40 @@
  */
 final class FrameReader {
 
-	static final int DEEPEST = 16;
+	static final int MAX_DEPTH = 16;
 
-	static final int MOST_ELEMENTS = 1 << 18;
+	static final int MAX_ELEMENTS = 1 << 18;
 
-	private final String from;
+	private final String peer;
 
 	private final byte[] frame;
 
 	private final MessageUnpacker unpacker;
 
-	private final int[] left = new int[DEEPEST + 1];
+	private final int[] remaining = new int[MAX_DEPTH + 1];
 
 	private int depth;
 
-	private int elements;
+	private int elementCount;
 
 	/**
 	 * Reads a frame.
-	 * @param from the peer, for messages of faults
+	 * @param peer the peer, for messages of faults
 	 * @param frame the frame without its length
 	 */
-	FrameReader(String from, byte[] frame) {
-		this.from = from;
+	FrameReader(String peer, byte[] frame) {
+		this.peer = peer;
 		this.frame = frame;
 		this.unpacker = MessagePack.newDefaultUnpacker(frame);
-		this.left[0] = 1;
+		this.remaining[0] = 1;
 	}
 
 	/**
 	 * Enters a list of fields.
 	 */
-	void enter() {
+	void beginArray() {
 		int size = read(this.unpacker::unpackArrayHeader);
-		push(size);
+		pushContainer(size);
 	}
 
 	/**
@@ -68,48 +68,48 @@
 	 * after those of an older one.
 	 * @return whether it has
 	 */
-	boolean hasMore() {
-		return this.left[this.depth] > 0;
+	boolean hasNext() {
+		return this.remaining[this.depth] > 0;
 	}
 
 	/**
 	 * Leaves a list of fields; what a newer version added to it is skipped.
 	 */
-	void leave() {
-		while (hasMore()) {
-			skip();
+	void endArray() {
+		while (hasNext()) {
+			skipValue();
 		}
 		this.depth--;
 	}
 
-	long number() {
+	long readLong() {
 		return read(this.unpacker::unpackLong);
 	}
 
-	int smallNumber() {
+	int readInt() {
 		return read(this.unpacker::unpackInt);
 	}
 
-	double real() {
+	double readDouble() {
 		return read(this.unpacker::unpackDouble);
 	}
 
-	boolean flag() {
+	boolean readBoolean() {
 		return read(this.unpacker::unpackBoolean);
 	}
 
-	String text() {
-		byte[] bytes = read(() -> payload(this.unpacker.unpackRawStringHeader()));
+	String readString() {
+		byte[] bytes = read(() -> readPayload(this.unpacker.unpackRawStringHeader()));
 		try {
 			return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
 		}
 		catch (CharacterCodingException ex) {
-			throw bad("a text is no UTF-8");
+			throw malformed("a text is no UTF-8");
 		}
 	}
 
-	byte[] bytes() {
-		return read(() -> payload(this.unpacker.unpackBinaryHeader()));
+	byte[] readBytes() {
+		return read(() -> readPayload(this.unpacker.unpackBinaryHeader()));
 	}
 
 	/**
@@ -119,8 +119,8 @@
 	 * @return the constant
 	 * @throws UnknownConstantException if this version has none of that name
 	 */
-	<E extends Enum<E>> E constant(Class<E> type) {
-		String name = text();
+	<E extends Enum<E>> E readEnum(Class<E> type) {
+		String name = readString();
 		for (E constant : type.getEnumConstants()) {
 			if (constant.name().equals(name)) {
 				return constant;
@@ -133,44 +133,44 @@
 	 * Whether the next value is nil; if so it is taken.
 	 * @return whether it was
 	 */
-	boolean nothing() {
-		return hasMore() && read(this.unpacker::tryUnpackNil, false);
+	boolean tryReadNil() {
+		return hasNext() && read(this.unpacker::tryUnpackNil, false);
 	}
 
-	<T> List<T> list(Function<FrameReader, T> element) {
-		enter();
+	<T> List<T> readList(Function<FrameReader, T> elementReader) {
+		beginArray();
 		List<T> values = new ArrayList<>();
-		while (hasMore()) {
-			values.add(element.apply(this));
+		while (hasNext()) {
+			values.add(elementReader.apply(this));
 		}
-		leave();
+		endArray();
 		return values;
 	}
 
-	Map<String, String> texts() {
+	Map<String, String> readStringMap() {
 		int size = read(this.unpacker::unpackMapHeader);
-		push(2 * size);
+		pushContainer(2 * size);
 		Map<String, String> values = new LinkedHashMap<>();
-		while (hasMore()) {
-			values.put(text(), text());
+		while (hasNext()) {
+			values.put(readString(), readString());
 		}
-		leave();
+		endArray();
 		return values;
 	}
 
 	/**
 	 * Skips one value of any kind.
 	 */
-	void skip() {
-		ValueType type = peek();
+	void skipValue() {
+		ValueType type = peekType();
 		if (type == ValueType.ARRAY) {
-			enter();
-			leave();
+			beginArray();
+			endArray();
 		}
 		else if (type == ValueType.MAP) {
 			int size = read(this.unpacker::unpackMapHeader);
-			push(2 * size);
-			leave();
+			pushContainer(2 * size);
+			endArray();
 		}
 		else {
 			read(() -> {
@@ -183,70 +183,70 @@
 	/**
 	 * Has to be called last: nothing may follow the message.
 	 */
-	void end() {
-		if (bytesLeft() > 0) {
-			throw bad("bytes follow the message");
+	void expectEnd() {
+		if (remainingBytes() > 0) {
+			throw malformed("bytes follow the message");
 		}
 	}
 
-	WireException bad(String what) {
-		return new WireException(this.from, CloseReason.BAD_BYTES,
-				what + "; see that the peer is almondmount and of a version that this one can talk to");
+	WireException malformed(String problem) {
+		return new WireException(this.peer, CloseReason.BAD_BYTES,
+				problem + "; see that the peer is almondmount and of a version that this one can talk to");
 	}
 
-	private void push(int size) {
-		if (size < 0 || size > bytesLeft()) {
-			throw bad("a list is said to be longer than the frame");
+	private void pushContainer(int size) {
+		if (size < 0 || size > remainingBytes()) {
+			throw malformed("a list is said to be longer than the frame");
 		}
-		this.elements += size;
-		if (this.elements > MOST_ELEMENTS) {
-			throw bad("the frame has more than " + MOST_ELEMENTS + " elements");
+		this.elementCount += size;
+		if (this.elementCount > MAX_ELEMENTS) {
+			throw malformed("the frame has more than " + MAX_ELEMENTS + " elements");
 		}
-		if (this.depth == DEEPEST) {
-			throw new WireException(this.from, CloseReason.TOO_DEEP,
-					"lists nest deeper than " + DEEPEST + "; see that the peer is almondmount");
+		if (this.depth == MAX_DEPTH) {
+			throw new WireException(this.peer, CloseReason.TOO_DEEP,
+					"lists nest deeper than " + MAX_DEPTH + "; see that the peer is almondmount");
 		}
 		this.depth++;
-		this.left[this.depth] = size;
+		this.remaining[this.depth] = size;
 	}
 
-	private byte[] payload(int size) throws IOException {
-		if (size < 0 || size > bytesLeft()) {
-			throw bad("a value is said to be longer than the frame");
+	private byte[] readPayload(int size) throws IOException {
+		if (size < 0 || size > remainingBytes()) {
+			throw malformed("a value is said to be longer than the frame");
 		}
 		return this.unpacker.readPayload(size);
 	}
 
-	private long bytesLeft() {
+	private long remainingBytes() {
 		return this.frame.length - this.unpacker.getTotalReadBytes();
 	}
 
-	private ValueType peek() {
+	private ValueType peekType() {
 		try {
 			return this.unpacker.getNextFormat().getValueType();
 		}
 		catch (IOException | MessagePackException ex) {
-			throw bad("the frame ends too early");
+			throw malformed("the frame ends too early");
 		}
 	}
 
-	private <T> T read(Reading<T> reading) {
-		return read(reading, true);
+	private <T> T read(ReadOperation<T> operation) {
+		return read(operation, true);
 	}
 
-	private <T> T read(Reading<T> reading, boolean always) {
-		if (!hasMore()) {
-			throw bad("a field is missing");
+	private <T> T read(ReadOperation<T> operation, boolean alwaysConsumes) {
+		if (!hasNext()) {
+			throw malformed("a field is missing");
 		}
 		try {
-			T value = reading.run();
-			if (always || Boolean.TRUE.equals(value)) {
-				this.left[this.depth]--;
+			T value = operation.execute();
+			if (alwaysConsumes || Boolean.TRUE.equals(value)) {
+				this.remaining[this.depth]--;
 			}
 			return value;
 		}
 		catch (IOException | MessagePackException | ArithmeticException ex) {
-			throw bad("a value is not of its kind");
+			throw malformed("a value is not of its kind");
 		}
 	}
 
@@ -254,9 +254,9 @@
 	 * One step of reading.
 	 */
 	@FunctionalInterface
-	private interface Reading<T> {
+	private interface ReadOperation<T> {
 
-		T run() throws IOException;
+		T execute() throws IOException;
 
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameWriter.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameWriter.java
@@ -17,58 +17,58 @@
 	// Most messages are heartbeats and orders of a hundred bytes; the library's default
 	// of 8 KiB for each would be nearly all of the garbage that a connection makes.
 	// Larger messages take further buffers.
-	private static final MessagePack.PackerConfig CONFIG = MessagePack.DEFAULT_PACKER_CONFIG.withBufferSize(512);
+	private static final MessagePack.PackerConfig PACKER_CONFIG = MessagePack.DEFAULT_PACKER_CONFIG.withBufferSize(512);
 
-	private final MessageBufferPacker packer = CONFIG.newBufferPacker();
+	private final MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker();
 
-	FrameWriter array(int size) {
+	FrameWriter writeArrayHeader(int size) {
 		return pack(() -> this.packer.packArrayHeader(size));
 	}
 
-	FrameWriter number(long value) {
+	FrameWriter writeLong(long value) {
 		return pack(() -> this.packer.packLong(value));
 	}
 
-	FrameWriter real(double value) {
+	FrameWriter writeDouble(double value) {
 		return pack(() -> this.packer.packDouble(value));
 	}
 
-	FrameWriter flag(boolean value) {
+	FrameWriter writeBoolean(boolean value) {
 		return pack(() -> this.packer.packBoolean(value));
 	}
 
-	FrameWriter text(String value) {
+	FrameWriter writeString(String value) {
 		return pack(() -> this.packer.packString(value));
 	}
 
-	FrameWriter constant(Enum<?> value) {
-		return text(value.name());
+	FrameWriter writeEnum(Enum<?> value) {
+		return writeString(value.name());
 	}
 
-	FrameWriter nothing() {
+	FrameWriter writeNil() {
 		return pack(this.packer::packNil);
 	}
 
-	FrameWriter bytes(byte[] value) {
+	FrameWriter writeBytes(byte[] value) {
 		return pack(() -> {
 			this.packer.packBinaryHeader(value.length);
 			this.packer.addPayload(value);
 		});
 	}
 
-	<T> FrameWriter list(Collection<T> values, BiConsumer<FrameWriter, T> element) {
-		array(values.size());
+	<T> FrameWriter writeList(Collection<T> values, BiConsumer<FrameWriter, T> elementWriter) {
+		writeArrayHeader(values.size());
 		for (T value : values) {
-			element.accept(this, value);
+			elementWriter.accept(this, value);
 		}
 		return this;
 	}
 
-	FrameWriter texts(Map<String, String> values) {
+	FrameWriter writeStringMap(Map<String, String> values) {
 		pack(() -> this.packer.packMapHeader(values.size()));
 		for (Map.Entry<String, String> entry : values.entrySet()) {
-			text(entry.getKey());
-			text(entry.getValue());
+			writeString(entry.getKey());
+			writeString(entry.getValue());
 		}
 		return this;
 	}
@@ -77,9 +77,9 @@
 		return this.packer.toByteArray();
 	}
 
-	private FrameWriter pack(Packing packing) {
+	private FrameWriter pack(PackOperation operation) {
 		try {
-			packing.run();
+			operation.execute();
 			return this;
 		}
 		catch (IOException ex) {
@@ -91,9 +91,9 @@
 	 * One step of writing.
 	 */
 	@FunctionalInterface
-	private interface Packing {
+	private interface PackOperation {
 
-		void run() throws IOException;
+		void execute() throws IOException;
 
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/Handshake.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/Handshake.java
@@ -25,13 +25,13 @@
 final class Handshake {
 
 	/** The largest frame before both sides are known. */
-	static final int LARGEST_FRAME = 16 << 10;
+	static final int MAX_FRAME_BYTES = 16 << 10;
 
 	/** The lowest version that this side speaks. */
-	static final int LOWEST_VERSION = 1;
+	static final int MIN_VERSION = 1;
 
 	/** The highest version that this side speaks. */
-	static final int HIGHEST_VERSION = 1;
+	static final int MAX_VERSION = 1;
 
 	private static final String MAGIC = "almondmount";
 
@@ -39,7 +39,7 @@
 
 	private static final String REJECT = "reject";
 
-	private static final String MAC = "HmacSHA256";
+	private static final String MAC_ALGORITHM = "HmacSHA256";
 
 	private static final int NONCE_BYTES = 32;
 
@@ -47,9 +47,9 @@
 
 	private final boolean dialer;
 
-	private final String key;
+	private final String sharedKey;
 
-	private final String from;
+	private final String peerAddress;
 
 	private final byte[] ownHello;
 
@@ -57,31 +57,31 @@
 
 	private PeerInfo peer;
 
-	Handshake(boolean dialer, String key, PeerInfo self, String from) {
+	Handshake(boolean dialer, String sharedKey, PeerInfo self, String peerAddress) {
 		this.dialer = dialer;
-		this.key = key;
-		this.from = from;
+		this.sharedKey = sharedKey;
+		this.peerAddress = peerAddress;
 		byte[] nonce = new byte[NONCE_BYTES];
 		RANDOM.nextBytes(nonce);
 		FrameWriter out = new FrameWriter();
-		out.array(5).text(MAGIC).number(LOWEST_VERSION).number(HIGHEST_VERSION).bytes(nonce);
+		out.writeArrayHeader(5).writeString(MAGIC).writeLong(MIN_VERSION).writeLong(MAX_VERSION).writeBytes(nonce);
 		ValueCodec.writePeerInfo(out, self);
 		this.ownHello = out.toBytes();
 	}
 
-	static byte[] reject(CloseReason reason) {
-		return new FrameWriter().array(2).text(REJECT).constant(reason).toBytes();
+	static byte[] rejectFrame(CloseReason reason) {
+		return new FrameWriter().writeArrayHeader(2).writeString(REJECT).writeEnum(reason).toBytes();
 	}
 
 	boolean isDialer() {
 		return this.dialer;
 	}
 
-	byte[] hello() {
+	byte[] helloFrame() {
 		return this.ownHello;
 	}
 
-	boolean hasHello() {
+	boolean hasPeerHello() {
 		return this.peerHello != null;
 	}
 
@@ -89,27 +89,27 @@
 	 * Takes the other side's hello.
 	 * @param frame its bytes
 	 */
-	void takeHello(byte[] frame) {
-		FrameReader in = new FrameReader(this.from, frame);
+	void receiveHello(byte[] frame) {
+		FrameReader in = new FrameReader(this.peerAddress, frame);
 		try {
-			in.enter();
+			in.beginArray();
 			checkMagic(in);
 			checkVersion(in);
-			if (in.bytes().length != NONCE_BYTES) {
-				throw in.bad("the nonce has another length");
+			if (in.readBytes().length != NONCE_BYTES) {
+				throw in.malformed("the nonce has another length");
 			}
 			this.peer = ValueCodec.readPeerInfo(in);
-			in.leave();
-			in.end();
+			in.endArray();
+			in.expectEnd();
 		}
 		catch (FrameReader.UnknownConstantException | InvalidValueException ex) {
-			throw in.bad("the peer's description breaks a rule (" + ex.getMessage() + ")");
+			throw in.malformed("the peer's description breaks a rule (" + ex.getMessage() + ")");
 		}
 		this.peerHello = frame;
 	}
 
-	byte[] proof() {
-		return new FrameWriter().array(2).text(PROOF).bytes(mac(this.dialer)).toBytes();
+	byte[] proofFrame() {
+		return new FrameWriter().writeArrayHeader(2).writeString(PROOF).writeBytes(computeMac(this.dialer)).toBytes();
 	}
 
 	/**
@@ -117,64 +117,66 @@
 	 * @param frame its bytes
 	 * @return who the other side is
 	 */
-	PeerInfo takeProof(byte[] frame) {
-		FrameReader in = new FrameReader(this.from, frame);
-		in.enter();
-		String what = in.text();
-		if (REJECT.equals(what)) {
-			throw rejected(in);
+	PeerInfo verifyProof(byte[] frame) {
+		FrameReader in = new FrameReader(this.peerAddress, frame);
+		in.beginArray();
+		String frameType = in.readString();
+		if (REJECT.equals(frameType)) {
+			throw rejection(in);
 		}
-		if (!PROOF.equals(what)) {
-			throw in.bad("a proof was expected");
+		if (!PROOF.equals(frameType)) {
+			throw in.malformed("a proof was expected");
 		}
-		byte[] proof = in.bytes();
-		in.leave();
-		if (!MessageDigest.isEqual(proof, mac(!this.dialer))) {
-			throw new WireException(this.from, CloseReason.WRONG_KEY,
+		byte[] proof = in.readBytes();
+		in.endArray();
+		if (!MessageDigest.isEqual(proof, computeMac(!this.dialer))) {
+			throw new WireException(this.peerAddress, CloseReason.WRONG_KEY,
 					"the peer does not know the shared key; give both sides the same");
 		}
 		return this.peer;
 	}
 
 	private void checkMagic(FrameReader in) {
-		String magic = in.text();
+		String magic = in.readString();
 		if (REJECT.equals(magic)) {
-			throw rejected(in);
+			throw rejection(in);
 		}
 		if (!MAGIC.equals(magic)) {
-			throw in.bad("a hello was expected");
+			throw in.malformed("a hello was expected");
 		}
 	}
 
 	private void checkVersion(FrameReader in) {
-		int lowest = in.smallNumber();
-		int highest = in.smallNumber();
-		if (lowest > HIGHEST_VERSION || highest < LOWEST_VERSION) {
-			throw new WireException(this.from, CloseReason.WRONG_VERSION, "the peer speaks versions " + lowest + " to "
-					+ highest + ", this side " + LOWEST_VERSION + " to " + HIGHEST_VERSION + "; upgrade the older one");
+		int lowest = in.readInt();
+		int highest = in.readInt();
+		if (lowest > MAX_VERSION || highest < MIN_VERSION) {
+			throw new WireException(this.peerAddress, CloseReason.WRONG_VERSION,
+					"the peer speaks versions " + lowest + " to " + highest + ", this side " + MIN_VERSION + " to "
+							+ MAX_VERSION + "; upgrade the older one");
 		}
 	}
 
-	private WireException rejected(FrameReader in) {
+	private WireException rejection(FrameReader in) {
 		try {
-			return new WireException(this.from, in.constant(CloseReason.class), "the peer rejected the handshake");
+			return new WireException(this.peerAddress, in.readEnum(CloseReason.class),
+					"the peer rejected the handshake");
 		}
 		catch (FrameReader.UnknownConstantException ex) {
-			return new WireException(this.from, CloseReason.REMOTE, "the peer rejected the handshake");
+			return new WireException(this.peerAddress, CloseReason.REMOTE, "the peer rejected the handshake");
 		}
 	}
 
-	private byte[] mac(boolean byDialer) {
+	private byte[] computeMac(boolean ofDialer) {
 		try {
-			Mac mac = Mac.getInstance(MAC);
-			mac.init(new SecretKeySpec(this.key.getBytes(StandardCharsets.UTF_8), MAC));
-			mac.update((byte) (byDialer ? 1 : 2));
+			Mac mac = Mac.getInstance(MAC_ALGORITHM);
+			mac.init(new SecretKeySpec(this.sharedKey.getBytes(StandardCharsets.UTF_8), MAC_ALGORITHM));
+			mac.update((byte) (ofDialer ? 1 : 2));
 			mac.update(this.dialer ? this.ownHello : this.peerHello);
 			mac.update(this.dialer ? this.peerHello : this.ownHello);
 			return mac.doFinal();
 		}
 		catch (GeneralSecurityException ex) {
-			throw new IllegalStateException("this Java has no " + MAC, ex);
+			throw new IllegalStateException("this Java has no " + MAC_ALGORITHM, ex);
 		}
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
@@ -22,37 +22,37 @@
 
 	/**
 	 * Reads a frame.
-	 * @param from the peer, for messages of faults
+	 * @param peer the peer, for messages of faults
 	 * @param frame the frame without its length
 	 * @return the message; {@link Message.Unknown} for a kind or a constant that this
 	 * version does not have
 	 * @throws WireException for bytes that are no message
 	 */
-	static Message decode(String from, byte[] frame) {
-		FrameReader in = new FrameReader(from, frame);
-		in.enter();
-		int code = in.smallNumber();
+	static Message decode(String peer, byte[] frame) {
+		FrameReader in = new FrameReader(peer, frame);
+		in.beginArray();
+		int code = in.readInt();
 		MessageKind kind = MessageKind.of(code);
 		if (kind == null) {
-			in.leave();
-			in.end();
+			in.endArray();
+			in.expectEnd();
 			return new Message.Unknown(code);
 		}
 		try {
 			Message message = kind.read(in);
-			in.leave();
-			in.end();
+			in.endArray();
+			in.expectEnd();
 			return message;
 		}
 		catch (FrameReader.UnknownConstantException ex) {
 			return new Message.Unknown(code);
 		}
 		catch (InvalidValueException ex) {
-			throw in.bad(invalid(ex));
+			throw in.malformed(describeInvalidField(ex));
 		}
 	}
 
-	private static String invalid(AlmondmountException ex) {
+	private static String describeInvalidField(AlmondmountException ex) {
 		return "a field breaks its rule (" + ex.location() + ")";
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/NettyPeerConnection.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/NettyPeerConnection.java
@@ -30,7 +30,7 @@
 
 	private static final EventLog LOG = EventLog.of(NettyPeerConnection.class);
 
-	private static final long LATE_TIMER_NANOS = 250_000_000L;
+	private static final long TIMER_DELAY_TOLERANCE_NANOS = 250_000_000L;
 
 	private final Channel channel;
 
@@ -42,11 +42,11 @@
 
 	private final Handshake handshake;
 
-	private final String from;
+	private final String peerAddress;
 
 	private final CompletableFuture<PeerConnection> ready;
 
-	private final AtomicLong outstanding = new AtomicLong();
+	private final AtomicLong outstandingBytes = new AtomicLong();
 
 	private volatile CloseReason closeReason;
 
@@ -54,12 +54,12 @@
 
 	private volatile boolean open;
 
-	private long lastHeardNanos;
+	private long lastReceivedNanos;
 
-	NettyPeerConnection(Channel channel, String from, Handshake handshake, PeerSettings settings, PeerListener listener,
-			WireMetrics metrics, CompletableFuture<PeerConnection> ready) {
+	NettyPeerConnection(Channel channel, String peerAddress, Handshake handshake, PeerSettings settings,
+			PeerListener listener, WireMetrics metrics, CompletableFuture<PeerConnection> ready) {
 		this.channel = channel;
-		this.from = from;
+		this.peerAddress = peerAddress;
 		this.settings = settings;
 		this.listener = listener;
 		this.metrics = metrics;
@@ -81,29 +81,30 @@
 		if (frame.length > this.settings.maxFrameBytes()) {
 			return refuse(SendRefusal.TOO_LARGE);
 		}
-		if (this.outstanding.addAndGet(frame.length) > this.settings.maxOutstandingBytes()) {
-			this.outstanding.addAndGet(-frame.length);
+		if (this.outstandingBytes.addAndGet(frame.length) > this.settings.maxOutstandingBytes()) {
+			this.outstandingBytes.addAndGet(-frame.length);
 			return refuse(SendRefusal.BACKLOG);
 		}
-		this.channel.writeAndFlush(framed(frame)).addListener((written) -> this.outstanding.addAndGet(-frame.length));
-		this.metrics.sent(frame.length);
+		this.channel.writeAndFlush(withLengthPrefix(frame))
+			.addListener((written) -> this.outstandingBytes.addAndGet(-frame.length));
+		this.metrics.recordSent(frame.length);
 		return true;
 	}
 
 	@Override
 	public void close(CloseReason reason) {
 		if (!this.channel.eventLoop().isShuttingDown()) {
-			this.channel.eventLoop().execute(() -> end(reason));
+			this.channel.eventLoop().execute(() -> closeWith(reason));
 		}
 	}
 
 	@Override
 	public void channelActive(ChannelHandlerContext ctx) {
 		if (this.handshake.isDialer()) {
-			write(this.handshake.hello());
+			write(this.handshake.helloFrame());
 		}
 		ctx.executor()
-			.schedule(this::handshakeTimedOut, this.settings.handshakeTimeout().toMillis(), TimeUnit.MILLISECONDS);
+			.schedule(this::onHandshakeTimeout, this.settings.handshakeTimeout().toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	@Override
@@ -111,26 +112,26 @@
 		if (this.closeReason == null) {
 			this.closeReason = CloseReason.REMOTE;
 		}
-		this.metrics.closed(this.closeReason);
+		this.metrics.recordClosed(this.closeReason);
 		if (this.open) {
 			this.open = false;
-			this.listener.closed(this, this.closeReason);
+			this.listener.onDisconnected(this, this.closeReason);
 			return;
 		}
-		this.ready.completeExceptionally(
-				new WireException(this.from, this.closeReason, "the handshake ended: " + this.closeReason.word()));
+		this.ready.completeExceptionally(new WireException(this.peerAddress, this.closeReason,
+				"the handshake ended: " + this.closeReason.externalName()));
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
 		if (cause instanceof TooLongFrameException) {
-			end(CloseReason.FRAME_TOO_LARGE);
+			closeWith(CloseReason.FRAME_TOO_LARGE);
 		}
 		else if (cause instanceof DecoderException) {
-			end(CloseReason.BAD_BYTES);
+			closeWith(CloseReason.BAD_BYTES);
 		}
 		else {
-			end(CloseReason.IO_ERROR);
+			closeWith(CloseReason.IO_ERROR);
 		}
 	}
 
@@ -140,95 +141,96 @@
 			return;
 		}
 		byte[] frame = ByteBufUtil.getBytes(bytes);
-		this.metrics.received(frame.length);
+		this.metrics.recordReceived(frame.length);
 		try {
 			if (this.open) {
-				takeMessage(frame);
+				handleMessage(frame);
 			}
 			else {
-				takeHandshake(frame);
+				handleHandshakeFrame(frame);
 			}
 		}
 		catch (WireException ex) {
-			refusePeer(ex);
+			closeOnFailure(ex);
 		}
 	}
 
-	private void takeMessage(byte[] frame) {
-		this.lastHeardNanos = System.nanoTime();
+	private void handleMessage(byte[] frame) {
+		this.lastReceivedNanos = System.nanoTime();
 		Message message = MessageCodec.decode(this.peer.name(), frame);
 		if (message instanceof Message.Unknown) {
-			this.metrics.unknownKind();
+			this.metrics.recordUnknownKind();
 		}
-		this.listener.received(this, message);
+		this.listener.onMessage(this, message);
 	}
 
-	private void takeHandshake(byte[] frame) {
-		if (!this.handshake.hasHello()) {
-			this.handshake.takeHello(frame);
-			write(this.handshake.isDialer() ? this.handshake.proof() : this.handshake.hello());
+	private void handleHandshakeFrame(byte[] frame) {
+		if (!this.handshake.hasPeerHello()) {
+			this.handshake.receiveHello(frame);
+			write(this.handshake.isDialer() ? this.handshake.proofFrame() : this.handshake.helloFrame());
 			return;
 		}
-		this.peer = this.handshake.takeProof(frame);
+		this.peer = this.handshake.verifyProof(frame);
 		if (!this.handshake.isDialer()) {
-			write(this.handshake.proof());
+			write(this.handshake.proofFrame());
 		}
-		this.channel.pipeline().get(FrameDecoder.class).trust();
-		this.lastHeardNanos = System.nanoTime();
+		this.channel.pipeline().get(FrameDecoder.class).markTrusted();
+		this.lastReceivedNanos = System.nanoTime();
 		this.open = true;
-		this.metrics.opened();
-		watchSilence(this.settings.heartbeatTimeout().toNanos());
-		this.listener.opened(this);
+		this.metrics.recordOpened();
+		scheduleSilenceCheck(this.settings.heartbeatTimeout().toNanos());
+		this.listener.onConnected(this);
 		this.ready.complete(this);
 	}
 
 	// The other side is told why only while strangers are sorted out: an operator who
 	// mistyped the key reads the reason in both logs.
-	private void refusePeer(WireException fault) {
-		CloseReason reason = fault.reason();
+	private void closeOnFailure(WireException failure) {
+		CloseReason reason = failure.reason();
 		if (!this.open) {
-			write(Handshake.reject(reason));
+			write(Handshake.rejectFrame(reason));
 		}
 		if (reason == CloseReason.WRONG_KEY || reason == CloseReason.WRONG_VERSION) {
-			LOG.warn("handshake-refused", "address", this.from, "reason", reason.word(), "why", fault.getMessage());
+			LOG.warn("handshake-refused", "address", this.peerAddress, "reason", reason.externalName(), "why",
+					failure.getMessage());
 		}
-		end(reason);
+		closeWith(reason);
 	}
 
-	private void handshakeTimedOut() {
+	private void onHandshakeTimeout() {
 		if (!this.open) {
-			end(CloseReason.HANDSHAKE_TIMEOUT);
+			closeWith(CloseReason.HANDSHAKE_TIMEOUT);
 		}
 	}
 
-	private void watchSilence(long nanos) {
-		long due = System.nanoTime() + nanos;
-		this.channel.eventLoop().schedule(() -> lookForSilence(due), nanos, TimeUnit.NANOSECONDS);
+	private void scheduleSilenceCheck(long delayNanos) {
+		long dueNanos = System.nanoTime() + delayNanos;
+		this.channel.eventLoop().schedule(() -> checkSilence(dueNanos), delayNanos, TimeUnit.NANOSECONDS);
 	}
 
 	// After a pause of this process the timer comes before the bytes that have arrived
 	// meanwhile. They would make a live peer look silent, so a late timer waits once
 	// more, which gives the bytes their turn; a peer that is silent is dropped by the
 	// next one.
-	private void lookForSilence(long due) {
+	private void checkSilence(long dueNanos) {
 		if (!this.open) {
 			return;
 		}
-		long timeout = this.settings.heartbeatTimeout().toNanos();
-		long now = System.nanoTime();
-		long silent = now - this.lastHeardNanos;
-		if (silent < timeout) {
-			watchSilence(timeout - silent);
+		long timeoutNanos = this.settings.heartbeatTimeout().toNanos();
+		long nowNanos = System.nanoTime();
+		long silentNanos = nowNanos - this.lastReceivedNanos;
+		if (silentNanos < timeoutNanos) {
+			scheduleSilenceCheck(timeoutNanos - silentNanos);
 		}
-		else if (now - due > LATE_TIMER_NANOS) {
-			watchSilence(LATE_TIMER_NANOS);
+		else if (nowNanos - dueNanos > TIMER_DELAY_TOLERANCE_NANOS) {
+			scheduleSilenceCheck(TIMER_DELAY_TOLERANCE_NANOS);
 		}
 		else {
-			end(CloseReason.SILENT);
+			closeWith(CloseReason.SILENT);
 		}
 	}
 
-	private void end(CloseReason reason) {
+	private void closeWith(CloseReason reason) {
 		if (this.closeReason == null) {
 			this.closeReason = reason;
 			this.channel.close();
@@ -236,15 +238,15 @@
 	}
 
 	private void write(byte[] frame) {
-		this.channel.writeAndFlush(framed(frame));
+		this.channel.writeAndFlush(withLengthPrefix(frame));
 	}
 
 	private boolean refuse(SendRefusal refusal) {
-		this.metrics.refused(refusal);
+		this.metrics.recordRefused(refusal);
 		return false;
 	}
 
-	private static ByteBuf framed(byte[] frame) {
+	private static ByteBuf withLengthPrefix(byte[] frame) {
 		ByteBuf length = Unpooled.buffer(FrameDecoder.LENGTH_BYTES).writeInt(frame.length);
 		return Unpooled.wrappedBuffer(length, Unpooled.wrappedBuffer(frame));
 	}
--- a/runtime/src/main/java/org/almondmount/wire/impl/NettyWire.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/NettyWireEndpoint.java
@@ -29,30 +29,30 @@
 /**
  * Connections between processes over TCP on Netty. Thread-safe.
  */
-public final class NettyWire implements WireEndpoint {
+public final class NettyWireEndpoint implements WireEndpoint {
 
-	private static final int BACKLOG = 4_096;
+	private static final int ACCEPT_BACKLOG = 4_096;
 
-	private static final int MOST_HANDSHAKES = 4_096;
+	private static final int MAX_PENDING_HANDSHAKES = 4_096;
 
 	private final IoThreads io;
 
 	private final WireMetrics metrics;
 
-	private final AtomicInteger handshakes = new AtomicInteger();
+	private final AtomicInteger pendingHandshakes = new AtomicInteger();
 
-	public NettyWire(IoThreads io, Telemetry telemetry) {
+	public NettyWireEndpoint(IoThreads io, Telemetry telemetry) {
 		this.io = io;
 		this.metrics = new WireMetrics(telemetry);
 	}
 
 	@Override
-	public CompletableFuture<Listening> listen(InetSocketAddress address, PeerInfo self, PeerSettings settings,
+	public CompletableFuture<ListeningSocket> listen(InetSocketAddress address, PeerInfo self, PeerSettings settings,
 			PeerListener listener) {
-		CompletableFuture<Listening> bound = new CompletableFuture<>();
+		CompletableFuture<ListeningSocket> bound = new CompletableFuture<>();
 		ChannelFuture binding = new ServerBootstrap().group(this.io.group())
 			.channel(NioServerSocketChannel.class)
-			.option(ChannelOption.SO_BACKLOG, BACKLOG)
+			.option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
 			.childHandler(new ChannelInitializer<SocketChannel>() {
@@ -66,7 +66,7 @@
 			.bind(address);
 		binding.addListener((done) -> {
 			if (done.isSuccess()) {
-				bound.complete(new BoundPlace(binding.channel()));
+				bound.complete(new BoundSocket(binding.channel()));
 			}
 			else {
 				bound.completeExceptionally(done.cause());
@@ -79,7 +79,7 @@
 	public CompletableFuture<PeerConnection> dial(InetSocketAddress address, PeerInfo self, PeerSettings settings,
 			PeerListener listener) {
 		CompletableFuture<PeerConnection> ready = new CompletableFuture<>();
-		String place = String.valueOf(address);
+		String peerAddress = String.valueOf(address);
 		ChannelFuture connecting = new Bootstrap().group(this.io.group())
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
@@ -88,22 +88,22 @@
 
 				@Override
 				protected void initChannel(SocketChannel channel) {
-					Handshake handshake = new Handshake(true, settings.sharedKey(), self, place);
-					setUp(channel, place, handshake, settings, listener, ready);
+					Handshake handshake = new Handshake(true, settings.sharedKey(), self, peerAddress);
+					initPipeline(channel, peerAddress, handshake, settings, listener, ready);
 				}
 
 			})
 			.connect(address);
 		connecting.addListener((done) -> {
 			if (!done.isSuccess()) {
-				ready.completeExceptionally(new WireException(place, reasonOf(done.cause()),
+				ready.completeExceptionally(new WireException(peerAddress, closeReasonOf(done.cause()),
 						"no connection (" + done.cause().getMessage() + "); see that the peer is running"));
 			}
 		});
 		return ready;
 	}
 
-	private static CloseReason reasonOf(Throwable cause) {
+	private static CloseReason closeReasonOf(Throwable cause) {
 		boolean refused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)
 				&& String.valueOf(cause.getMessage()).contains("refused");
 		return refused ? CloseReason.REFUSED : CloseReason.IO_ERROR;
@@ -112,32 +112,32 @@
 	// A stranger costs a little memory until its handshake ends or times out. Without a
 	// bound on their number many strangers could take all of it.
 	private void accept(SocketChannel channel, PeerInfo self, PeerSettings settings, PeerListener listener) {
-		if (this.handshakes.get() >= MOST_HANDSHAKES) {
-			this.metrics.closed(CloseReason.TOO_MANY_HANDSHAKES);
+		if (this.pendingHandshakes.get() >= MAX_PENDING_HANDSHAKES) {
+			this.metrics.recordClosed(CloseReason.TOO_MANY_HANDSHAKES);
 			channel.close();
 			return;
 		}
-		this.handshakes.incrementAndGet();
+		this.pendingHandshakes.incrementAndGet();
 		CompletableFuture<PeerConnection> ready = new CompletableFuture<>();
-		ready.whenComplete((connection, failure) -> this.handshakes.decrementAndGet());
-		String place = String.valueOf(channel.remoteAddress());
-		Handshake handshake = new Handshake(false, settings.sharedKey(), self, place);
-		setUp(channel, place, handshake, settings, listener, ready);
+		ready.whenComplete((connection, failure) -> this.pendingHandshakes.decrementAndGet());
+		String peerAddress = String.valueOf(channel.remoteAddress());
+		Handshake handshake = new Handshake(false, settings.sharedKey(), self, peerAddress);
+		initPipeline(channel, peerAddress, handshake, settings, listener, ready);
 	}
 
-	private void setUp(SocketChannel channel, String place, Handshake handshake, PeerSettings settings,
+	private void initPipeline(SocketChannel channel, String peerAddress, Handshake handshake, PeerSettings settings,
 			PeerListener listener, CompletableFuture<PeerConnection> ready) {
 		channel.pipeline()
 			.addLast(
 					new FlushConsolidationHandler(FlushConsolidationHandler.DEFAULT_EXPLICIT_FLUSH_AFTER_FLUSHES, true))
 			.addLast(new FrameDecoder(settings.maxFrameBytes()))
-			.addLast(new NettyPeerConnection(channel, place, handshake, settings, listener, this.metrics, ready));
+			.addLast(new NettyPeerConnection(channel, peerAddress, handshake, settings, listener, this.metrics, ready));
 	}
 
 	/**
 	 * A bound listening socket.
 	 */
-	private record BoundPlace(Channel channel) implements Listening {
+	private record BoundSocket(Channel channel) implements ListeningSocket {
 
 		@Override
 		public InetSocketAddress address() {
--- a/runtime/src/main/java/org/almondmount/wire/impl/ValueCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/ValueCodec.java
@@ -36,151 +36,165 @@
 	}
 
 	static void writeAttempt(FrameWriter out, Attempt attempt) {
-		out.array(2).text(attempt.job().value()).number(attempt.number());
+		out.writeArrayHeader(2).writeString(attempt.job().value()).writeLong(attempt.number());
 	}
 
 	static Attempt readAttempt(FrameReader in) {
-		in.enter();
-		Attempt attempt = new Attempt(new JobId(in.text()), in.smallNumber());
-		in.leave();
+		in.beginArray();
+		Attempt attempt = new Attempt(new JobId(in.readString()), in.readInt());
+		in.endArray();
 		return attempt;
 	}
 
 	static void writeHeldMember(FrameWriter out, HeldMember held) {
-		out.array(4);
+		out.writeArrayHeader(4);
 		writeAttempt(out, held.attempt());
-		out.number(held.member()).number(held.members()).flag(held.running());
+		out.writeLong(held.member()).writeLong(held.members()).writeBoolean(held.running());
 	}
 
 	static HeldMember readHeldMember(FrameReader in) {
-		in.enter();
-		HeldMember held = new HeldMember(readAttempt(in), in.smallNumber(), in.smallNumber(), in.flag());
-		in.leave();
+		in.beginArray();
+		HeldMember held = new HeldMember(readAttempt(in), in.readInt(), in.readInt(), in.readBoolean());
+		in.endArray();
 		return held;
 	}
 
 	static void writeResources(FrameWriter out, Resources resources) {
-		out.array(3).number(resources.accelerators()).number(resources.cores()).number(resources.memoryMb());
+		out.writeArrayHeader(3)
+			.writeLong(resources.accelerators())
+			.writeLong(resources.cores())
+			.writeLong(resources.memoryMb());
 	}
 
 	static Resources readResources(FrameReader in) {
-		in.enter();
-		Resources resources = new Resources(in.smallNumber(), in.smallNumber(), in.smallNumber());
-		in.leave();
+		in.beginArray();
+		Resources resources = new Resources(in.readInt(), in.readInt(), in.readInt());
+		in.endArray();
 		return resources;
 	}
 
 	static void writeJobSpec(FrameWriter out, JobSpec spec) {
-		out.array(8).text(spec.customer().value()).text(spec.jobClass());
+		out.writeArrayHeader(8).writeString(spec.customer().value()).writeString(spec.jobClass());
 		writeGangShape(out, spec.shape());
-		out.constant(spec.urgency()).flag(spec.repeatable());
-		out.number(spec.declaredRunTime().toMillis()).number(spec.checkpointEvery().toMillis()).text(spec.program());
+		out.writeEnum(spec.urgency()).writeBoolean(spec.repeatable());
+		out.writeLong(spec.declaredRunTime().toMillis())
+			.writeLong(spec.checkpointEvery().toMillis())
+			.writeString(spec.program());
 	}
 
 	static JobSpec readJobSpec(FrameReader in) {
-		in.enter();
-		JobSpec spec = new JobSpec(new CustomerId(in.text()), in.text(), readGangShape(in), in.constant(Urgency.class),
-				in.flag(), Duration.ofMillis(in.number()), Duration.ofMillis(in.number()), in.text());
-		in.leave();
+		in.beginArray();
+		JobSpec spec = new JobSpec(new CustomerId(in.readString()), in.readString(), readGangShape(in),
+				in.readEnum(Urgency.class), in.readBoolean(), Duration.ofMillis(in.readLong()),
+				Duration.ofMillis(in.readLong()), in.readString());
+		in.endArray();
 		return spec;
 	}
 
 	static void writeConfiguration(FrameWriter out, Configuration configuration) {
-		out.array(4).number(configuration.revision());
-		out.list(configuration.customers().values(), ValueCodec::writeCustomer);
-		out.array(configuration.zones().size());
-		configuration.zones().forEach((zone, state) -> out.array(2).text(zone.value()).constant(state));
-		out.texts(configuration.options());
+		out.writeArrayHeader(4).writeLong(configuration.revision());
+		out.writeList(configuration.customers().values(), ValueCodec::writeCustomer);
+		out.writeArrayHeader(configuration.zones().size());
+		configuration.zones()
+			.forEach((zone, state) -> out.writeArrayHeader(2).writeString(zone.value()).writeEnum(state));
+		out.writeStringMap(configuration.options());
 	}
 
 	static Configuration readConfiguration(FrameReader in) {
-		in.enter();
-		long revision = in.number();
+		in.beginArray();
+		long revision = in.readLong();
 		Map<CustomerId, Customer> customers = new LinkedHashMap<>();
-		for (Customer customer : in.list(ValueCodec::readCustomer)) {
+		for (Customer customer : in.readList(ValueCodec::readCustomer)) {
 			customers.put(customer.id(), customer);
 		}
 		Map<ZoneId, ZoneState> zones = new LinkedHashMap<>();
-		in.enter();
-		while (in.hasMore()) {
-			in.enter();
-			zones.put(new ZoneId(in.text()), in.constant(ZoneState.class));
-			in.leave();
+		in.beginArray();
+		while (in.hasNext()) {
+			in.beginArray();
+			zones.put(new ZoneId(in.readString()), in.readEnum(ZoneState.class));
+			in.endArray();
 		}
-		in.leave();
-		Configuration configuration = new Configuration(revision, customers, zones, in.texts());
-		in.leave();
+		in.endArray();
+		Configuration configuration = new Configuration(revision, customers, zones, in.readStringMap());
+		in.endArray();
 		return configuration;
 	}
 
 	static void writePeerInfo(FrameWriter out, PeerInfo info) {
-		out.array(7).constant(info.role()).text(info.name()).text(info.address()).text(info.zone());
+		out.writeArrayHeader(7)
+			.writeEnum(info.role())
+			.writeString(info.name())
+			.writeString(info.address())
+			.writeString(info.zone());
 		if (info.worker().isPresent()) {
 			writeWorkerInfo(out, info.worker().get());
 		}
 		else {
-			out.nothing();
+			out.writeNil();
 		}
-		out.number(info.slots()).number(info.incarnation());
+		out.writeLong(info.slots()).writeLong(info.incarnation());
 	}
 
 	static PeerInfo readPeerInfo(FrameReader in) {
-		in.enter();
-		PeerInfo.Role role = in.constant(PeerInfo.Role.class);
-		String name = in.text();
-		String address = in.text();
-		String zone = in.text();
-		Optional<WorkerInfo> worker = in.nothing() ? Optional.empty() : Optional.of(readWorkerInfo(in));
-		PeerInfo info = new PeerInfo(role, name, address, zone, worker, in.smallNumber(), in.number());
-		in.leave();
+		in.beginArray();
+		PeerInfo.Role role = in.readEnum(PeerInfo.Role.class);
+		String name = in.readString();
+		String address = in.readString();
+		String zone = in.readString();
+		Optional<WorkerInfo> worker = in.tryReadNil() ? Optional.empty() : Optional.of(readWorkerInfo(in));
+		PeerInfo info = new PeerInfo(role, name, address, zone, worker, in.readInt(), in.readLong());
+		in.endArray();
 		return info;
 	}
 
 	private static void writeWorkerInfo(FrameWriter out, WorkerInfo worker) {
-		out.array(4).text(worker.id().value()).text(worker.zone().value()).text(worker.rack().value());
+		out.writeArrayHeader(4)
+			.writeString(worker.id().value())
+			.writeString(worker.zone().value())
+			.writeString(worker.rack().value());
 		writeResources(out, worker.capacity());
 	}
 
 	private static WorkerInfo readWorkerInfo(FrameReader in) {
-		in.enter();
-		WorkerInfo worker = new WorkerInfo(new WorkerId(in.text()), new ZoneId(in.text()), new RackId(in.text()),
-				readResources(in));
-		in.leave();
+		in.beginArray();
+		WorkerInfo worker = new WorkerInfo(new WorkerId(in.readString()), new ZoneId(in.readString()),
+				new RackId(in.readString()), readResources(in));
+		in.endArray();
 		return worker;
 	}
 
 	private static void writeGangShape(FrameWriter out, GangShape shape) {
-		out.array(3).number(shape.members());
+		out.writeArrayHeader(3).writeLong(shape.members());
 		writeResources(out, shape.perMember());
-		out.constant(shape.adjacency());
+		out.writeEnum(shape.adjacency());
 	}
 
 	private static GangShape readGangShape(FrameReader in) {
-		in.enter();
-		GangShape shape = new GangShape(in.smallNumber(), readResources(in), in.constant(Adjacency.class));
-		in.leave();
+		in.beginArray();
+		GangShape shape = new GangShape(in.readInt(), readResources(in), in.readEnum(Adjacency.class));
+		in.endArray();
 		return shape;
 	}
 
 	private static void writeCustomer(FrameWriter out, Customer customer) {
-		out.array(3).text(customer.id().value()).real(customer.weight());
-		out.list(customer.guarantees(), (to, guarantee) -> {
-			to.array(2).number(guarantee.gangs());
+		out.writeArrayHeader(3).writeString(customer.id().value()).writeDouble(customer.weight());
+		out.writeList(customer.guarantees(), (to, guarantee) -> {
+			to.writeArrayHeader(2).writeLong(guarantee.gangs());
 			writeGangShape(to, guarantee.shape());
 		});
 	}
 
 	private static Customer readCustomer(FrameReader in) {
-		in.enter();
-		CustomerId id = new CustomerId(in.text());
-		double weight = in.real();
-		List<GuaranteedShape> guarantees = new ArrayList<>(in.list((from) -> {
-			from.enter();
-			GuaranteedShape guarantee = new GuaranteedShape(from.smallNumber(), readGangShape(from));
-			from.leave();
+		in.beginArray();
+		CustomerId id = new CustomerId(in.readString());
+		double weight = in.readDouble();
+		List<GuaranteedShape> guarantees = new ArrayList<>(in.readList((from) -> {
+			from.beginArray();
+			GuaranteedShape guarantee = new GuaranteedShape(from.readInt(), readGangShape(from));
+			from.endArray();
 			return guarantee;
 		}));
-		in.leave();
+		in.endArray();
 		return new Customer(id, weight, guarantees);
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/WireMetrics.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/WireMetrics.java
@@ -38,28 +38,28 @@
 		this.bytesOut = telemetry.registry().counter("wire.bytes-out");
 	}
 
-	void opened() {
+	void recordOpened() {
 		this.telemetry.count(OPENED);
 	}
 
-	void closed(CloseReason reason) {
+	void recordClosed(CloseReason reason) {
 		this.telemetry.count(CLOSED, reason);
 	}
 
-	void refused(SendRefusal refusal) {
+	void recordRefused(SendRefusal refusal) {
 		this.telemetry.count(REFUSED, refusal);
 	}
 
-	void unknownKind() {
+	void recordUnknownKind() {
 		this.telemetry.count(UNKNOWN_KIND);
 	}
 
-	void received(int bytes) {
+	void recordReceived(int bytes) {
 		this.messagesIn.inc();
 		this.bytesIn.inc(bytes + FrameDecoder.LENGTH_BYTES);
 	}
 
-	void sent(int bytes) {
+	void recordSent(int bytes) {
 		this.messagesOut.inc();
 		this.bytesOut.inc(bytes + FrameDecoder.LENGTH_BYTES);
 	}
--- a/runtime/src/main/java/org/almondmount/wire/impl/WorkflowCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/WorkflowCodec.java
@@ -19,99 +19,106 @@
 	private WorkflowCodec() {
 	}
 
-	static void writeLife(FrameWriter out, WorkerIncarnation life) {
-		out.array(2).text(life.worker()).number(life.startedAtMillis());
+	static void writeIncarnation(FrameWriter out, WorkerIncarnation incarnation) {
+		out.writeArrayHeader(2).writeString(incarnation.worker()).writeLong(incarnation.startedAtMillis());
 	}
 
-	static WorkerIncarnation readLife(FrameReader in) {
-		in.enter();
-		WorkerIncarnation life = new WorkerIncarnation(in.text(), in.number());
-		in.leave();
-		return life;
+	static WorkerIncarnation readIncarnation(FrameReader in) {
+		in.beginArray();
+		WorkerIncarnation incarnation = new WorkerIncarnation(in.readString(), in.readLong());
+		in.endArray();
+		return incarnation;
 	}
 
 	static void writeReport(FrameWriter out, WorkerReport report) {
-		out.array(6).text(report.target());
+		out.writeArrayHeader(6).writeString(report.target());
 		writeDescription(out, report.worker());
-		out.number(report.epoch());
-		out.list(report.running(), WorkflowCodec::writeRunning);
-		out.list(report.ended(), WorkflowCodec::writeEnded);
-		out.list(report.crashed(), WorkflowCodec::writeCrashed);
+		out.writeLong(report.epoch());
+		out.writeList(report.running(), WorkflowCodec::writeRunning);
+		out.writeList(report.ended(), WorkflowCodec::writeEnded);
+		out.writeList(report.crashed(), WorkflowCodec::writeCrashed);
 	}
 
 	static WorkerReport readReport(FrameReader in) {
-		in.enter();
-		WorkerReport report = new WorkerReport(in.text(), readDescription(in), in.number(),
-				in.list(WorkflowCodec::readRunning), in.list(WorkflowCodec::readEnded),
-				in.hasMore() ? in.list(WorkflowCodec::readCrashed) : List.of());
-		in.leave();
+		in.beginArray();
+		WorkerReport report = new WorkerReport(in.readString(), readDescription(in), in.readLong(),
+				in.readList(WorkflowCodec::readRunning), in.readList(WorkflowCodec::readEnded),
+				in.hasNext() ? in.readList(WorkflowCodec::readCrashed) : List.of());
+		in.endArray();
 		return report;
 	}
 
 	private static void writeDescription(FrameWriter out, WorkerDescription worker) {
-		out.array(7);
-		writeLife(out, worker.incarnation());
-		out.text(worker.pool()).text(worker.zone());
-		out.list(worker.labels(), FrameWriter::text);
+		out.writeArrayHeader(7);
+		writeIncarnation(out, worker.incarnation());
+		out.writeString(worker.pool()).writeString(worker.zone());
+		out.writeList(worker.labels(), FrameWriter::writeString);
 		writeAmount(out, worker.capacity());
-		out.flag(worker.draining()).number(worker.remainingMillis());
+		out.writeBoolean(worker.draining()).writeLong(worker.remainingMillis());
 	}
 
 	private static WorkerDescription readDescription(FrameReader in) {
-		in.enter();
-		WorkerDescription worker = new WorkerDescription(readLife(in), in.text(), in.text(),
-				Set.copyOf(in.list(FrameReader::text)), readAmount(in), in.flag(), in.number());
-		in.leave();
+		in.beginArray();
+		WorkerDescription worker = new WorkerDescription(readIncarnation(in), in.readString(), in.readString(),
+				Set.copyOf(in.readList(FrameReader::readString)), readAmount(in), in.readBoolean(), in.readLong());
+		in.endArray();
 		return worker;
 	}
 
 	static void writeAmount(FrameWriter out, ResourceAmount amount) {
-		out.array(3).number(amount.cpuMillis()).number(amount.memoryMb()).number(amount.accelerators());
+		out.writeArrayHeader(3)
+			.writeLong(amount.cpuMillis())
+			.writeLong(amount.memoryMb())
+			.writeLong(amount.accelerators());
 	}
 
 	static ResourceAmount readAmount(FrameReader in) {
-		in.enter();
-		ResourceAmount amount = new ResourceAmount(in.number(), in.number(), in.number());
-		in.leave();
+		in.beginArray();
+		ResourceAmount amount = new ResourceAmount(in.readLong(), in.readLong(), in.readLong());
+		in.endArray();
 		return amount;
 	}
 
 	private static void writeRunning(FrameWriter out, WorkerReport.Running run) {
-		out.array(4).text(run.task().toString()).number(run.run()).text(run.checkpoint()).number(run.progressPercent());
+		out.writeArrayHeader(4)
+			.writeString(run.task().toString())
+			.writeLong(run.run())
+			.writeString(run.checkpoint())
+			.writeLong(run.progressPercent());
 	}
 
 	private static WorkerReport.Running readRunning(FrameReader in) {
-		in.enter();
-		WorkerReport.Running run = new WorkerReport.Running(TaskId.parse(in.text()), in.smallNumber(), in.text(),
-				in.smallNumber());
-		in.leave();
+		in.beginArray();
+		WorkerReport.Running run = new WorkerReport.Running(TaskId.parse(in.readString()), in.readInt(),
+				in.readString(), in.readInt());
+		in.endArray();
 		return run;
 	}
 
 	private static void writeCrashed(FrameWriter out, WorkerReport.Crashed run) {
-		out.array(4);
-		writeLife(out, run.incarnation());
-		out.text(run.task().toString()).number(run.run()).number(run.observedRunMillis());
+		out.writeArrayHeader(4);
+		writeIncarnation(out, run.incarnation());
+		out.writeString(run.task().toString()).writeLong(run.run()).writeLong(run.observedRunMillis());
 	}
 
 	private static WorkerReport.Crashed readCrashed(FrameReader in) {
-		in.enter();
-		WorkerReport.Crashed run = new WorkerReport.Crashed(readLife(in), TaskId.parse(in.text()), in.smallNumber(),
-				in.number());
-		in.leave();
+		in.beginArray();
+		WorkerReport.Crashed run = new WorkerReport.Crashed(readIncarnation(in), TaskId.parse(in.readString()),
+				in.readInt(), in.readLong());
+		in.endArray();
 		return run;
 	}
 
 	private static void writeEnded(FrameWriter out, WorkerReport.Ended end) {
-		out.array(5).number(end.sequence()).text(end.task().toString()).number(end.run());
-		out.constant(end.outcome()).text(end.checkpoint());
+		out.writeArrayHeader(5).writeLong(end.sequence()).writeString(end.task().toString()).writeLong(end.run());
+		out.writeEnum(end.outcome()).writeString(end.checkpoint());
 	}
 
 	private static WorkerReport.Ended readEnded(FrameReader in) {
-		in.enter();
-		WorkerReport.Ended end = new WorkerReport.Ended(in.number(), TaskId.parse(in.text()), in.smallNumber(),
-				in.constant(RunOutcome.class), in.text());
-		in.leave();
+		in.beginArray();
+		WorkerReport.Ended end = new WorkerReport.Ended(in.readLong(), TaskId.parse(in.readString()), in.readInt(),
+				in.readEnum(RunOutcome.class), in.readString());
+		in.endArray();
 		return end;
 	}
 
--- a/runtime/src/test/java/org/almondmount/RuntimeArchitectureTests.java
+++ b/runtime/src/test/java/org/almondmount/RuntimeArchitectureTests.java
@@ -8,21 +8,21 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 
 @AnalyzeClasses(packages = { "org.almondmount.wire", "org.almondmount.http", "org.almondmount.services",
-		"org.almondmount.settings", "org.almondmount.duty", "org.almondmount.telemetry", "org.almondmount.net" },
+		"org.almondmount.settings", "org.almondmount.concurrent", "org.almondmount.telemetry", "org.almondmount.net" },
 		importOptions = DoNotIncludeTests.class)
 class RuntimeArchitectureTests {
 
 	@ArchTest
-	final ArchRule whatUsersMeetKnowsNoLibraryOfTheNetwork = ArchRuleDefinition.noClasses()
+	final ArchRule publicPackagesDoNotDependOnNetworkLibraries = ArchRuleDefinition.noClasses()
 		.that()
 		.resideInAnyPackage("org.almondmount.wire", "org.almondmount.http", "org.almondmount.services",
-				"org.almondmount.settings", "org.almondmount.duty", "org.almondmount.telemetry")
+				"org.almondmount.settings", "org.almondmount.concurrent", "org.almondmount.telemetry")
 		.should()
 		.dependOnClassesThat()
 		.resideInAnyPackage("io.netty..", "org.msgpack..");
 
 	@ArchTest
-	final ArchRule whatUsersMeetKnowsNoImplementation = ArchRuleDefinition.noClasses()
+	final ArchRule publicPackagesDoNotDependOnImplementations = ArchRuleDefinition.noClasses()
 		.that()
 		.resideOutsideOfPackage("..impl..")
 		.should()
@@ -30,13 +30,13 @@
 		.resideInAPackage("..impl..");
 
 	@ArchTest
-	final ArchRule concernsAreFreeOfCycles = SlicesRuleDefinition.slices()
+	final ArchRule packagesAreFreeOfCycles = SlicesRuleDefinition.slices()
 		.matching("org.almondmount.(*)..")
 		.should()
 		.beFreeOfCycles();
 
 	@ArchTest
-	final ArchRule onlyTheProtocolKnowsItsCodec = ArchRuleDefinition.noClasses()
+	final ArchRule onlyWireImplementationDependsOnMessagePack = ArchRuleDefinition.noClasses()
 		.that()
 		.resideOutsideOfPackage("org.almondmount.wire.impl")
 		.should()
--- a/runtime/src/test/java/org/almondmount/duty/DutyTests.java
+++ b/runtime/src/test/java/org/almondmount/concurrent/EventProcessorTests.java
@@ -1,4 +1,4 @@
-package org.almondmount.duty;
+package org.almondmount.concurrent;
 
 import java.time.Duration;
 import java.util.List;
@@ -13,21 +13,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class DutyTests {
+class EventProcessorTests {
 
-	private static final long NAP_FAR_LONGER_THAN_THE_TEST = TimeUnit.MINUTES.toNanos(10);
+	private static final long PARK_LONGER_THAN_TEST_NANOS = TimeUnit.MINUTES.toNanos(10);
 
 	@Test
-	void anOfferNeverSleepsThroughANap() {
+	void offerDuringParkWakesTheThread() {
 		// Whoever offers comes just as the duty goes to sleep. If the wake-up were lost,
 		// the element would lie there until the nap's end, here ten minutes.
 		AtomicInteger done = new AtomicInteger();
-		try (Duty<Integer> duty = new Duty<>("test-duty", 16, (element) -> done.incrementAndGet(), (fault) -> {
-		}, NAP_FAR_LONGER_THAN_THE_TEST)) {
-			duty.start();
+		try (EventProcessor<Integer> processor = new EventProcessor<>("test-duty", 16,
+				(element) -> done.incrementAndGet(), (fault) -> {
+				}, PARK_LONGER_THAN_TEST_NANOS)) {
+			processor.start();
 			for (int i = 1; i <= 20_000; i++) {
 				int expected = i;
-				assertThat(duty.offer(i)).isTrue();
+				assertThat(processor.offer(i)).isTrue();
 				if (!spinUntil(() -> done.get() == expected)) {
 					Awaitility.await().atMost(Duration.ofSeconds(5)).until(() -> done.get() == expected);
 				}
@@ -36,56 +37,56 @@
 	}
 
 	@Test
-	void aFullRingRefusesAtOnce() throws InterruptedException {
+	void offerReturnsFalseWhenQueueIsFull() throws InterruptedException {
 		CountDownLatch release = new CountDownLatch(1);
-		CountDownLatch busy = new CountDownLatch(1);
+		CountDownLatch handling = new CountDownLatch(1);
 		List<Integer> done = new CopyOnWriteArrayList<>();
-		try (Duty<Integer> duty = new Duty<>("test-duty", 4, (element) -> {
-			busy.countDown();
+		try (EventProcessor<Integer> processor = new EventProcessor<>("test-duty", 4, (element) -> {
+			handling.countDown();
 			await(release);
 			done.add(element);
 		}, (fault) -> {
 		})) {
-			duty.start();
-			duty.offer(0);
-			busy.await();
+			processor.start();
+			processor.offer(0);
+			handling.await();
 			for (int i = 1; i <= 4; i++) {
-				assertThat(duty.offer(i)).isTrue();
+				assertThat(processor.offer(i)).isTrue();
 			}
-			assertThat(duty.offer(5)).isFalse();
+			assertThat(processor.offer(5)).isFalse();
 			release.countDown();
 			Awaitility.await().until(() -> done.equals(List.of(0, 1, 2, 3, 4)));
 		}
 	}
 
 	@Test
-	void workThatThrowsIsToldAndTheDutyGoesOn() {
+	void handlerExceptionIsReportedAndProcessingContinues() {
 		List<Throwable> faults = new CopyOnWriteArrayList<>();
 		List<String> done = new CopyOnWriteArrayList<>();
-		try (Duty<String> duty = new Duty<>("test-duty", 16, (element) -> {
+		try (EventProcessor<String> processor = new EventProcessor<>("test-duty", 16, (element) -> {
 			if (element.equals("bad")) {
 				throw new IllegalStateException(element);
 			}
 			done.add(element);
 		}, faults::add)) {
-			duty.start();
-			duty.offer("bad");
-			duty.offer("good");
+			processor.start();
+			processor.offer("bad");
+			processor.offer("good");
 			Awaitility.await().until(() -> done.equals(List.of("good")));
 			assertThat(faults).singleElement().isInstanceOf(IllegalStateException.class);
 		}
 	}
 
 	@Test
-	void aClosedDutyFinishesWhatWaitsAndTakesNothingMore() {
+	void closeDrainsTheQueueAndRejectsNewElements() {
 		List<Integer> done = new CopyOnWriteArrayList<>();
-		Duty<Integer> duty = new Duty<>("test-duty", 16, done::add, (fault) -> {
+		EventProcessor<Integer> processor = new EventProcessor<>("test-duty", 16, done::add, (fault) -> {
 		});
-		duty.offer(1);
-		duty.offer(2);
-		duty.close();
-		assertThat(duty.offer(3)).isFalse();
-		duty.start();
+		processor.offer(1);
+		processor.offer(2);
+		processor.close();
+		assertThat(processor.offer(3)).isFalse();
+		processor.start();
 		Awaitility.await().until(() -> done.equals(List.of(1, 2)));
 	}
 
--- a/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
@@ -46,7 +46,7 @@
 	void everyCloseReasonIsListed() throws IOException {
 		String page = Files.readString(PAGE);
 		for (CloseReason reason : CloseReason.values()) {
-			assertThat(page).contains("| `" + reason.word() + "` |");
+			assertThat(page).contains("| `" + reason.externalName() + "` |");
 		}
 	}
 
--- a/runtime/src/test/java/org/almondmount/wire/impl/MessageCodecTests.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/MessageCodecTests.java
@@ -22,14 +22,14 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void everyKindComesBackAsItWas(MessageKind kind) {
+	void everyKindSurvivesRoundTrip(MessageKind kind) {
 		Message message = sample(kind);
 		Message read = MessageCodec.decode("peer", MessageCodec.encode(message));
 		assertThat(read).usingRecursiveComparison().isEqualTo(message);
 	}
 
 	@Test
-	void everyTypeOfMessageHasAKindAndANumberOfItsOwn() {
+	void everyMessageTypeHasKindWithUniqueCode() {
 		Set<Integer> codes = new HashSet<>();
 		for (MessageKind kind : MessageKind.values()) {
 			assertThat(codes.add(kind.code())).isTrue();
@@ -38,10 +38,15 @@
 	}
 
 	@Test
-	void aKindOfANewerVersionIsUnknownAndHarmless() {
+	void kindOfNewerVersionIsDecodedAsUnknown() {
 		// In a rolling upgrade a newer process sends a kind that this one has never heard
 		// of. It may cost neither the connection nor the messages after it.
-		byte[] frame = new FrameWriter().array(3).number(9_999).text("new").array(1).number(1).toBytes();
+		byte[] frame = new FrameWriter().writeArrayHeader(3)
+			.writeLong(9_999)
+			.writeString("new")
+			.writeArrayHeader(1)
+			.writeLong(1)
+			.toBytes();
 		assertThat(MessageCodec.decode("peer", frame)).isEqualTo(new Message.Unknown(9_999));
 	}
 
@@ -50,65 +55,65 @@
 		// In a rolling upgrade a newer process adds fields to a message and to a value
 		// inside it. The fields that this one knows keep their places, so it reads those.
 		FrameWriter out = new FrameWriter();
-		out.array(5).number(MessageKind.MEMBER_USAGE.code());
-		out.array(3).text("job-1").number(3).text("new");
-		out.number(2);
-		out.array(4).number(1).number(2).number(3).number(4);
-		out.array(2).array(1).nothing().bytes(new byte[] { 1 });
-		assertThat(MessageCodec.decode("peer", out.toBytes())).isEqualTo(Samples.ALL.get(16));
+		out.writeArrayHeader(5).writeLong(MessageKind.MEMBER_USAGE.code());
+		out.writeArrayHeader(3).writeString("job-1").writeLong(3).writeString("new");
+		out.writeLong(2);
+		out.writeArrayHeader(4).writeLong(1).writeLong(2).writeLong(3).writeLong(4);
+		out.writeArrayHeader(2).writeArrayHeader(1).writeNil().writeBytes(new byte[] { 1 });
+		assertThat(MessageCodec.decode("peer", out.toBytes())).isEqualTo(MessageSamples.ALL.get(16));
 	}
 
 	@Test
-	void aConstantOfANewerVersionMakesTheMessageUnknown() {
+	void enumConstantOfNewerVersionMakesTheMessageUnknown() {
 		FrameWriter out = new FrameWriter();
-		out.array(4).number(MessageKind.MEMBER_ENDED.code());
-		out.array(2).text("job-1").number(3);
-		out.number(2).text("MERGED");
+		out.writeArrayHeader(4).writeLong(MessageKind.MEMBER_ENDED.code());
+		out.writeArrayHeader(2).writeString("job-1").writeLong(3);
+		out.writeLong(2).writeString("MERGED");
 		assertThat(MessageCodec.decode("peer", out.toBytes()))
 			.isEqualTo(new Message.Unknown(MessageKind.MEMBER_ENDED.code()));
 	}
 
 	@Test
-	void aLengthThatIsALieTakesNoMemory() {
+	void excessiveLengthIsRejectedBeforeAllocation() {
 		// Five bytes claim a body of two gigabytes. Taken at their word they would end
 		// the process; they are held against the frame's own length first.
 		byte[] frame = { (byte) 0x93, 18, 1, (byte) 0xdb, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff };
-		assertThat(fault(frame).reason()).isEqualTo(CloseReason.BAD_BYTES);
-		byte[] list = { (byte) 0xdd, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff };
-		assertThat(fault(list).reason()).isEqualTo(CloseReason.BAD_BYTES);
+		assertThat(decodeFailure(frame).reason()).isEqualTo(CloseReason.BAD_BYTES);
+		byte[] listFrame = { (byte) 0xdd, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff };
+		assertThat(decodeFailure(listFrame).reason()).isEqualTo(CloseReason.BAD_BYTES);
 	}
 
 	@Test
-	void deepNestingIsRefused() {
+	void deepNestingIsRejected() {
 		byte[] frame = new byte[500];
 		Arrays.fill(frame, (byte) 0x91);
 		frame[0] = (byte) 0x92;
 		frame[1] = 99;
-		assertThat(fault(frame).reason()).isEqualTo(CloseReason.TOO_DEEP);
+		assertThat(decodeFailure(frame).reason()).isEqualTo(CloseReason.TOO_DEEP);
 	}
 
 	@Test
-	void aTruncatedFrameIsBadBytesAtEveryLength() {
-		byte[] whole = MessageCodec.encode(Samples.ALL.get(4));
-		for (int length = 0; length < whole.length; length++) {
-			assertThat(fault(Arrays.copyOf(whole, length)).reason()).isEqualTo(CloseReason.BAD_BYTES);
+	void frameTruncatedAtAnyLengthIsBadBytes() {
+		byte[] completeFrame = MessageCodec.encode(MessageSamples.ALL.get(4));
+		for (int length = 0; length < completeFrame.length; length++) {
+			assertThat(decodeFailure(Arrays.copyOf(completeFrame, length)).reason()).isEqualTo(CloseReason.BAD_BYTES);
 		}
 	}
 
 	@Property(seed = "20261202", tries = 5_000)
-	void noBytesDoMoreThanCloseTheConnection(@ForAll @Size(max = 200) byte[] frame) {
-		decodeOrFault(frame);
+	void arbitraryBytesRaiseNothingButWireException(@ForAll @Size(max = 200) byte[] frame) {
+		decodeOrExpectWireException(frame);
 	}
 
 	@Property(seed = "20261202", tries = 5_000)
-	void noChangedMessageDoesMoreThanCloseTheConnection(@ForAll MessageKind kind,
-			@ForAll @IntRange(max = 10_000) int place, @ForAll byte value) {
+	void corruptedMessageRaisesNothingButWireException(@ForAll MessageKind kind,
+			@ForAll @IntRange(max = 10_000) int position, @ForAll byte value) {
 		byte[] frame = MessageCodec.encode(sample(kind));
-		frame[place % frame.length] = value;
-		decodeOrFault(frame);
+		frame[position % frame.length] = value;
+		decodeOrExpectWireException(frame);
 	}
 
-	private static void decodeOrFault(byte[] frame) {
+	private static void decodeOrExpectWireException(byte[] frame) {
 		try {
 			assertThat(MessageCodec.decode("peer", frame)).isNotNull();
 		}
@@ -117,12 +122,12 @@
 		}
 	}
 
-	private static WireException fault(byte[] frame) {
+	private static WireException decodeFailure(byte[] frame) {
 		return catchThrowableOfType(WireException.class, () -> MessageCodec.decode("peer", frame));
 	}
 
 	private static Message sample(MessageKind kind) {
-		for (Message message : Samples.ALL) {
+		for (Message message : MessageSamples.ALL) {
 			if (MessageKind.of(message) == kind) {
 				return message;
 			}
--- a/runtime/src/test/java/org/almondmount/wire/impl/Samples.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/MessageSamples.java
@@ -38,7 +38,7 @@
 /**
  * One message of each kind, for tests.
  */
-final class Samples {
+final class MessageSamples {
 
 	static final Attempt ATTEMPT = new Attempt(new JobId("job-1"), 3);
 
@@ -53,16 +53,16 @@
 		.withOption("backfill", "on")
 		.withRevision(7);
 
-	static final WorkerIncarnation LIFE = new WorkerIncarnation("worker-1", 1_700_000_000_000L);
+	static final WorkerIncarnation INCARNATION = new WorkerIncarnation("worker-1", 1_700_000_000_000L);
 
 	static final TaskId TASK = new TaskId("5c0e7a21d94b36f8", 0, 1, 17);
 
 	static final WorkerReport REPORT = new WorkerReport("target-1",
-			new WorkerDescription(LIFE, "pool", "lulea-a", Set.of("a", "r1-3"), new ResourceAmount(128_000, 524_288, 8),
-					true, 4_500),
+			new WorkerDescription(INCARNATION, "pool", "lulea-a", Set.of("a", "r1-3"),
+					new ResourceAmount(128_000, 524_288, 8), true, 4_500),
 			9, List.of(new WorkerReport.Running(TASK, 2, "c1", 41)),
 			List.of(new WorkerReport.Ended(58, TASK, 1, RunOutcome.FAILED, "")),
-			List.of(new WorkerReport.Crashed(LIFE, TASK, 1, 250)));
+			List.of(new WorkerReport.Crashed(INCARNATION, TASK, 1, 250)));
 
 	static final List<Message> ALL = List.of(
 			new Message.Heartbeat(1, 2, 3, 4, List.of(new HeldMember(ATTEMPT, 0, 8, true))),
@@ -81,13 +81,14 @@
 			new Message.MemberUsage(ATTEMPT, 2, new Resources(1, 2, 3)),
 			new Message.Forward(5, "parish", "POST", "/v1/jobs", new byte[] { 4 }, Map.of("idempotency-key", "k1")),
 			new Message.ForwardAnswer(5, 201, Map.of(), new byte[0]),
-			new Message.HolderIs(new EntryId("entry-1"), 9, "127.0.0.1:2"), new Message.TargetAlive(7),
-			new Message.LeaseGranted(9, 7, 6_000, List.of("127.0.0.1:1")), new Message.WorkerTold(REPORT),
-			new Message.RunNotBegun(TASK, 2, "draining"),
-			new Message.RunStart(9, 7, LIFE, TASK, 2, "program", "checkpoint", new ResourceAmount(128_000, 524_288, 8)),
-			new Message.RunStop(9, LIFE, TASK, 2), new Message.EndsKept(9, LIFE, 57));
+			new Message.HolderAnnouncement(new EntryId("entry-1"), 9, "127.0.0.1:2"), new Message.TargetAlive(7),
+			new Message.LeaseGranted(9, 7, 6_000, List.of("127.0.0.1:1")), new Message.WorkerStatus(REPORT),
+			new Message.RunNotStarted(TASK, 2, "draining"),
+			new Message.RunStart(9, 7, INCARNATION, TASK, 2, "program", "checkpoint",
+					new ResourceAmount(128_000, 524_288, 8)),
+			new Message.RunStop(9, INCARNATION, TASK, 2), new Message.EndsRecorded(9, INCARNATION, 57));
 
-	private Samples() {
+	private MessageSamples() {
 	}
 
 	static PeerInfo target(String name) {
--- a/runtime/src/test/java/org/almondmount/wire/impl/MessageSizeTests.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/MessageSizeTests.java
@@ -27,39 +27,39 @@
  */
 class MessageSizeTests {
 
-	private static final int MEMBERS = 6;
+	private static final int MEMBER_COUNT = 6;
 
-	private static final int CUSTOMERS = 470;
+	private static final int CUSTOMER_COUNT = 470;
 
 	@Test
-	void aHeartbeatGrowsByTheMembersThatItNames() {
+	void heartbeatSizePerMemberIsBounded() {
 		int empty = size(new Message.Heartbeat(1_000_000, 15_000, 1_000, 8, List.of()));
 		int six = size(new Message.Heartbeat(1_000_000, 15_000, 1_000, 8, members()));
 
 		assertThat(empty).isLessThanOrEqualTo(16);
-		assertThat((six - empty) / MEMBERS).isLessThanOrEqualTo(38);
+		assertThat((six - empty) / MEMBER_COUNT).isLessThanOrEqualTo(38);
 	}
 
 	@Test
-	void aReplyGrowsByTheAttemptsThatItNames() {
+	void heartbeatReplySizePerAttemptIsBounded() {
 		int empty = size(new Message.HeartbeatReply(1_000_000, 15_000, 3_000, List.of(), List.of(),
 				List.of("10.120.130.140:7400", "10.120.130.141:7400")));
 		int six = size(new Message.HeartbeatReply(1_000_000, 15_000, 3_000, attempts(), List.of(),
 				List.of("10.120.130.140:7400", "10.120.130.141:7400")));
 
 		assertThat(empty).isLessThanOrEqualTo(56);
-		assertThat((six - empty) / MEMBERS).isLessThanOrEqualTo(30);
+		assertThat((six - empty) / MEMBER_COUNT).isLessThanOrEqualTo(30);
 	}
 
 	@Test
-	void aWholeConfigurationGrowsByItsCustomers() {
+	void configurationSizePerCustomerIsBounded() {
 		int bytes = size(new Message.ConfigurationPush(configuration()));
 
-		assertThat(bytes / CUSTOMERS).isLessThanOrEqualTo(56);
+		assertThat(bytes / CUSTOMER_COUNT).isLessThanOrEqualTo(56);
 	}
 
 	@Test
-	void anOrderAboutAMemberIsSmall() {
+	void memberMessageSizesAreBounded() {
 		Resources each = new Resources(8, 48, 196_608);
 		JobSpec spec = new JobSpec(new CustomerId("team-1000"), "training", new GangShape(512, each, Adjacency.ZONE),
 				Urgency.NORMAL, true, Duration.ofHours(3), Duration.ofMinutes(10), "program-of-a-hundred-characters");
@@ -80,7 +80,7 @@
 
 	private static List<Attempt> attempts() {
 		List<Attempt> attempts = new ArrayList<>();
-		for (int i = 0; i < MEMBERS; i++) {
+		for (int i = 0; i < MEMBER_COUNT; i++) {
 			attempts.add(attempt(i));
 		}
 		return attempts;
@@ -88,7 +88,7 @@
 
 	private static List<HeldMember> members() {
 		List<HeldMember> members = new ArrayList<>();
-		for (int i = 0; i < MEMBERS; i++) {
+		for (int i = 0; i < MEMBER_COUNT; i++) {
 			members.add(new HeldMember(attempt(i), 300 + i, 512, true));
 		}
 		return members;
@@ -98,7 +98,7 @@
 		GuaranteedShape large = new GuaranteedShape(1, new GangShape(2, new Resources(8, 48, 196_608), Adjacency.RACK));
 		GuaranteedShape small = new GuaranteedShape(4, new GangShape(1, new Resources(1, 6, 24_576), Adjacency.WORKER));
 		Configuration configuration = Configuration.EMPTY.withRevision(15_000);
-		for (int i = 0; i < CUSTOMERS; i++) {
+		for (int i = 0; i < CUSTOMER_COUNT; i++) {
 			configuration = configuration
 				.withCustomer(new Customer(new CustomerId("team-" + (1_000 + i)), 1, List.of(large, small)));
 		}
--- a/runtime/src/test/java/org/almondmount/wire/impl/RecordingListener.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/RecordingListener.java
@@ -20,17 +20,17 @@
 	private final List<CloseReason> closed = new CopyOnWriteArrayList<>();
 
 	@Override
-	public void opened(PeerConnection connection) {
+	public void onConnected(PeerConnection connection) {
 		this.opened.add(connection);
 	}
 
 	@Override
-	public void received(PeerConnection connection, Message message) {
+	public void onMessage(PeerConnection connection, Message message) {
 		this.received.add(message);
 	}
 
 	@Override
-	public void closed(PeerConnection connection, CloseReason reason) {
+	public void onDisconnected(PeerConnection connection, CloseReason reason) {
 		this.closed.add(reason);
 	}
 
