--- a/runtime/src/main/java/org/almondmount/concurrent/EventProcessor.java
+++ b/runtime/src/main/java/org/almondmount/concurrent/EventProcessor.java
@@ -7,12 +7,14 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * A thread with one duty, fed by a bounded ring.
+ * A single thread that passes the elements of a bounded queue to a handler, one at a time
+ * and in order.
  * <p>
- * A full ring refuses: {@link #offer} returns false and the one who offered answers its
- * own caller with a typed reason. It never blocks and never drops silently. Thread-safe.
+ * If the queue is full, {@link #offer} returns false, so that the producer can answer its
+ * own caller with a typed reason. Offering never blocks and never drops an element
+ * silently. Thread-safe.
  *
- * @param <E> what the duty takes
+ * @param <E> the type of the elements
  */
 public final class EventProcessor<E> implements AutoCloseable {
 
@@ -33,11 +35,12 @@
 	private volatile boolean closed;
 
 	/**
-	 * Makes a duty; {@link #start()} begins it.
-	 * @param name the thread's name
-	 * @param capacity the ring's size
-	 * @param handler what is done with each element, on the duty's thread
-	 * @param faultHandler told of anything that the work throws; the duty goes on
+	 * Creates a processor; {@link #start()} starts its thread.
+	 * @param name the name of the thread
+	 * @param capacity the capacity of the queue
+	 * @param handler called for each element on the processor's thread
+	 * @param faultHandler called with anything that the handler throws; processing
+	 * continues with the next element
 	 */
 	public EventProcessor(String name, int capacity, Consumer<E> handler, Consumer<Throwable> faultHandler) {
 		this(name, capacity, handler, faultHandler, MAX_PARK_NANOS);
@@ -58,9 +61,10 @@
 	}
 
 	/**
-	 * Hands an element to the duty.
+	 * Adds an element to the queue.
 	 * @param element the element
-	 * @return false when the ring is full or the duty has ended; then it was not taken
+	 * @return false if the queue is full or the processor is closed; the element was not
+	 * added then
 	 */
 	public boolean offer(E element) {
 		if (this.closed || !this.queue.offer(element)) {
@@ -74,15 +78,16 @@
 	}
 
 	/**
-	 * Elements that wait now.
-	 * @return a count
+	 * Returns the number of elements in the queue.
+	 * @return the number at this moment
 	 */
 	public int queuedCount() {
 		return this.queue.size();
 	}
 
 	/**
-	 * Takes nothing more; what waits is still worked on, then the thread ends.
+	 * Rejects further elements. Those in the queue are still processed, then the thread
+	 * ends.
 	 */
 	@Override
 	public void close() {
@@ -113,10 +118,11 @@
 		}
 	}
 
-	// An offer may slip in between the look at the ring and the nap, and would wait for
-	// the nap's end. Whoever offers looks at the flag after its element is in the ring,
-	// and this side looks at the ring after raising the flag; the fences keep either from
-	// doing it the other way round, so that one of the two always sees the other.
+	// An element offered between the check of the queue and parkNanos would otherwise
+	// stay in the queue until the park timeout. The producer reads the idle flag after
+	// adding its element, and this thread checks the queue after setting the flag. The
+	// full fences prevent reordering on either side, so at least one of the two sees the
+	// other's write.
 	private void park() {
 		this.idle = true;
 		VarHandle.fullFence();
--- a/runtime/src/main/java/org/almondmount/concurrent/package-info.java
+++ b/runtime/src/main/java/org/almondmount/concurrent/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Threads with one duty each, joined by bounded rings.
+ * Single threads that process the elements of a bounded queue.
  */
 package org.almondmount.concurrent;
--- a/runtime/src/main/java/org/almondmount/net/IoThreads.java
+++ b/runtime/src/main/java/org/almondmount/net/IoThreads.java
@@ -21,9 +21,10 @@
 	private final EventLoopGroup group;
 
 	/**
-	 * Makes the threads; each starts with its first connection.
-	 * @param name the threads' name, followed by a number
-	 * @param threads how many; one carries some thousand light connections
+	 * Creates the group; each thread starts with its first connection.
+	 * @param name the prefix of the thread names, followed by a number
+	 * @param threads the number of threads; one thread serves some thousand connections
+	 * with little traffic
 	 */
 	public IoThreads(String name, int threads) {
 		this.group = new MultiThreadIoEventLoopGroup(threads, new DefaultThreadFactory(name, true),
@@ -31,7 +32,7 @@
 	}
 
 	/**
-	 * The group, for bootstraps.
+	 * Returns the event-loop group for bootstraps.
 	 * @return the group
 	 */
 	public EventLoopGroup group() {
@@ -39,15 +40,15 @@
 	}
 
 	/**
-	 * One thread of the group, for state that has a single owner.
-	 * @return the next thread in turn
+	 * Returns one event loop of the group, for state that is confined to a single thread.
+	 * @return the next event loop in round-robin order
 	 */
 	public EventLoop next() {
 		return this.group.next();
 	}
 
 	/**
-	 * Ends the threads once what they are doing is done. Returns at once.
+	 * Shuts the threads down after their current tasks. Returns immediately.
 	 */
 	@Override
 	public void close() {
--- a/runtime/src/main/java/org/almondmount/net/package-info.java
+++ b/runtime/src/main/java/org/almondmount/net/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The threads that do network input and output.
+ * The threads for network I/O.
  */
 package org.almondmount.net;
--- a/runtime/src/main/java/org/almondmount/wire/CloseReason.java
+++ b/runtime/src/main/java/org/almondmount/wire/CloseReason.java
@@ -3,51 +3,54 @@
 import java.util.Locale;
 
 /**
- * Every reason for which a connection between processes ends; each has a counter.
+ * The reasons for closing a connection between processes. Each has a counter.
  */
 public enum CloseReason {
 
-	/** The other side closed it. */
+	/** The remote side closed the connection. */
 	REMOTE,
 
-	/** This side closed it on purpose. */
+	/** This side closed the connection on purpose. */
 	LOCAL,
 
-	/** Nobody listens at the address: the process that did is gone. */
+	/**
+	 * Connection refused: no process listens at the address, for instance because the one
+	 * that did has ended.
+	 */
 	REFUSED,
-	/** Nothing was heard for the heartbeat timeout. */
+	/** Nothing was received within the heartbeat timeout. */
 	SILENT,
 
-	/** The other side does not know the shared key. */
+	/** The remote side does not have the shared key. */
 	WRONG_KEY,
 
-	/** The other side speaks no version that this side speaks. */
+	/** The two sides have no protocol version in common. */
 	WRONG_VERSION,
 
-	/** The handshake did not end in time. */
+	/** The handshake was not completed in time. */
 	HANDSHAKE_TIMEOUT,
 
-	/** A frame is over the limit. */
+	/** A frame exceeds the size limit. */
 	FRAME_TOO_LARGE,
 
-	/** A message nests deeper than the limit. */
+	/** A message exceeds the nesting limit. */
 	TOO_DEEP,
 
-	/** Bytes that are no message. */
+	/** The received bytes are not a valid message. */
 	BAD_BYTES,
 
-	/** Too many connections wait for the end of their handshake. */
+	/** The number of pending handshakes is at its limit. */
 	TOO_MANY_HANDSHAKES,
 
-	/** A newer connection of the same process took its place. */
+	/** A newer connection of the same process replaced this connection. */
 	REPLACED,
 
-	/** An input or output error. */
+	/** An I/O error. */
 	IO_ERROR;
 
 	/**
-	 * The reason as it stands in logs and counters.
-	 * @return the word
+	 * Returns the name of this reason in logs and counters.
+	 * @return the lower-case name with hyphens
 	 */
 	public String externalName() {
 		return name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/runtime/src/main/java/org/almondmount/wire/PeerConnection.java
+++ b/runtime/src/main/java/org/almondmount/wire/PeerConnection.java
@@ -6,22 +6,22 @@
 public interface PeerConnection {
 
 	/**
-	 * Who is at the other end.
-	 * @return what it told in the handshake
+	 * Describes the remote process.
+	 * @return the description that it sent in the handshake
 	 */
 	PeerInfo peer();
 
 	/**
-	 * Hands a message to the connection.
+	 * Queues a message for sending.
 	 * @param message the message
-	 * @return false when the connection is closed or its outstanding bytes are at the
-	 * limit; then nothing of the message was or will be sent
+	 * @return false if the connection is closed, the message exceeds the frame limit or
+	 * the outstanding bytes are at their limit; no part of the message is sent then
 	 */
 	boolean send(Message message);
 
 	/**
-	 * Closes the connection; the listener is told once.
-	 * @param reason why
+	 * Closes the connection; the listener is notified once.
+	 * @param reason the reason for closing
 	 */
 	void close(CloseReason reason);
 
--- a/runtime/src/main/java/org/almondmount/wire/PeerInfo.java
+++ b/runtime/src/main/java/org/almondmount/wire/PeerInfo.java
@@ -5,28 +5,29 @@
 import org.almondmount.model.WorkerInfo;
 
 /**
- * What a process tells of itself in the handshake.
+ * The description of a process that it sends in the handshake.
  *
  * @param role entry or target
- * @param name its name, new with each start for entries
- * @param address where it accepts peers ({@code ip:port}); empty for targets
+ * @param name the name of the process; entries get a new name at each start
+ * @param address the address at which it accepts peers ({@code ip:port}); empty for
+ * targets
  * @param zone its availability zone
- * @param worker the worker beside a target; empty for entries
- * @param slots the instance's slots, 0 for entries
- * @param incarnation grows with each start of the process of that name
+ * @param worker the worker that belongs to a target; empty for entries
+ * @param slots the number of slots of the instance, 0 for entries
+ * @param incarnation number that increases with each start of the process of that name
  */
 public record PeerInfo(Role role, String name, String address, String zone, Optional<WorkerInfo> worker, int slots,
 		long incarnation) {
 
 	/**
-	 * What kind of process a peer is.
+	 * The kind of process.
 	 */
 	public enum Role {
 
-		/** Takes callers' requests and may hold the scheduler's lease. */
+		/** Accepts requests of callers and may hold the scheduler's lease. */
 		ENTRY,
 
-		/** Stands beside a worker and a service instance. */
+		/** Runs alongside a worker and a service instance. */
 		TARGET
 
 	}
--- a/runtime/src/main/java/org/almondmount/wire/PeerListener.java
+++ b/runtime/src/main/java/org/almondmount/wire/PeerListener.java
@@ -1,28 +1,28 @@
 package org.almondmount.wire;
 
 /**
- * Hears what happens on connections. Called on I/O threads, in order for one connection;
- * implementations only pass on to a ring and return at once.
+ * Receives the events of connections. The methods are called on I/O threads, in order for
+ * each connection. Implementations must not block: they enqueue the event and return.
  */
 public interface PeerListener {
 
 	/**
-	 * The handshake succeeded.
+	 * Called after a successful handshake.
 	 * @param connection the connection
 	 */
 	void onConnected(PeerConnection connection);
 
 	/**
-	 * A message arrived.
-	 * @param connection its connection
+	 * Called for each message that is received.
+	 * @param connection the connection that received the message
 	 * @param message the message
 	 */
 	void onMessage(PeerConnection connection, Message message);
 
 	/**
-	 * The connection is gone. Told exactly once for each that was opened.
+	 * Called exactly once for each opened connection, when it has been closed.
 	 * @param connection the connection
-	 * @param reason why
+	 * @param reason the reason for closing
 	 */
 	void onDisconnected(PeerConnection connection, CloseReason reason);
 
--- a/runtime/src/main/java/org/almondmount/wire/PeerSettings.java
+++ b/runtime/src/main/java/org/almondmount/wire/PeerSettings.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * How connections between processes behave. Immutable.
+ * The settings of connections between processes. Immutable.
  *
  * @param sharedKey the secret of this installation
- * @param heartbeatTimeout silence after which a connection is dropped
- * @param handshakeTimeout time for the handshake
- * @param maxFrameBytes the largest frame that is read or written
- * @param maxOutstandingBytes bytes that may wait for the network on one connection
+ * @param heartbeatTimeout time without received data after which a connection is closed
+ * @param handshakeTimeout time limit for the handshake
+ * @param maxFrameBytes size of the largest frame that is read or written
+ * @param maxOutstandingBytes bytes that may be queued for sending on one connection
  */
 public record PeerSettings(String sharedKey, Duration heartbeatTimeout, Duration handshakeTimeout, int maxFrameBytes,
 		int maxOutstandingBytes) {
 
 	/**
-	 * The settings that hold where nothing else is said.
+	 * Returns the default settings.
 	 * @param sharedKey the secret of this installation
 	 * @return the settings
 	 */
--- a/runtime/src/main/java/org/almondmount/wire/SendRefusal.java
+++ b/runtime/src/main/java/org/almondmount/wire/SendRefusal.java
@@ -1,17 +1,17 @@
 package org.almondmount.wire;
 
 /**
- * Every reason for which a message is not taken by a connection; each has a counter.
+ * The reasons for which a connection refuses to send a message. Each has a counter.
  */
 public enum SendRefusal {
 
 	/** The connection is closed. */
 	CLOSED,
 
-	/** The bytes that wait for the network are at their limit. */
+	/** The outstanding bytes are at their limit. */
 	BACKLOG,
 
-	/** The message is larger than the largest frame. */
+	/** The message exceeds the frame limit. */
 	TOO_LARGE
 
 }
--- a/runtime/src/main/java/org/almondmount/wire/WireEndpoint.java
+++ b/runtime/src/main/java/org/almondmount/wire/WireEndpoint.java
@@ -4,46 +4,46 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Opens connections between processes. Thread-safe.
+ * Accepts and opens connections between processes. Thread-safe.
  */
 public interface WireEndpoint {
 
 	/**
 	 * Accepts connections from peers.
-	 * @param address where to listen; port 0 picks one
-	 * @param self what this process tells of itself
-	 * @param settings how the connections behave
-	 * @param listener hears of each connection once its handshake is done
-	 * @return the bound place, or the failure to bind
+	 * @param address the address to bind; port 0 selects a free port
+	 * @param self the description of this process for the handshake
+	 * @param settings the settings of the connections
+	 * @param listener receives the events of each connection after its handshake
+	 * @return the bound socket, or the failure to bind
 	 */
 	CompletableFuture<ListeningSocket> listen(InetSocketAddress address, PeerInfo self, PeerSettings settings,
 			PeerListener listener);
 
 	/**
-	 * Opens one connection. The listener hears {@link PeerListener#onConnected} before
-	 * the future completes.
-	 * @param address where the peer listens
-	 * @param self what this process tells of itself
-	 * @param settings how the connection behaves
-	 * @param listener hears of the connection
+	 * Opens one connection. {@link PeerListener#onConnected} is called before the future
+	 * completes.
+	 * @param address the address at which the peer listens
+	 * @param self the description of this process for the handshake
+	 * @param settings the settings of the connection
+	 * @param listener receives the events of the connection
 	 * @return the connection after its handshake, or {@link WireException}
 	 */
 	CompletableFuture<PeerConnection> dial(InetSocketAddress address, PeerInfo self, PeerSettings settings,
 			PeerListener listener);
 
 	/**
-	 * A place where peers are accepted.
+	 * A bound socket that accepts connections from peers.
 	 */
 	interface ListeningSocket extends AutoCloseable {
 
 		/**
-		 * Where it listens.
-		 * @return the bound address
+		 * Returns the bound address.
+		 * @return the address, with the port that was selected
 		 */
 		InetSocketAddress address();
 
 		/**
-		 * Accepts no more; connections that are open stay open.
+		 * Stops accepting connections; open connections stay open.
 		 */
 		@Override
 		void close();
--- a/runtime/src/main/java/org/almondmount/wire/WireException.java
+++ b/runtime/src/main/java/org/almondmount/wire/WireException.java
@@ -3,7 +3,8 @@
 import org.almondmount.model.AlmondmountException;
 
 /**
- * A connection that could not be opened or whose bytes are no message.
+ * Thrown when a connection cannot be opened or when received bytes are not a valid
+ * message.
  */
 public class WireException extends AlmondmountException {
 
@@ -15,8 +16,8 @@
 	}
 
 	/**
-	 * Why the connection ends.
-	 * @return the counted reason
+	 * Returns the reason for which the connection is closed.
+	 * @return the reason under which the close is counted
 	 */
 	public CloseReason reason() {
 		return this.reason;
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
@@ -7,8 +7,9 @@
 import io.netty.handler.codec.TooLongFrameException;
 
 /**
- * Cuts the stream into frames: four bytes of length, then that many bytes. The limit is
- * low until the peer has proved itself, so a stranger can't have memory taken for it.
+ * Splits the stream into frames: a length of four bytes, then that many bytes. The limit
+ * is low until the peer is authenticated, so that an unauthenticated peer cannot make
+ * this process allocate much memory.
  */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameReader.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameReader.java
@@ -18,12 +18,12 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Reads one frame of MessagePack within limits. Not thread-safe.
+ * Reads one MessagePack frame within limits. Not thread-safe.
  * <p>
- * A length inside a frame is written by the peer: believed, it could ask for gigabytes
- * with five bytes. Each one is held against the bytes that are left in the frame and
- * against a count of elements before anything is allocated, so a frame costs no more
- * memory than a small multiple of its size.
+ * Lengths inside a frame come from the peer and are not trusted: five bytes could request
+ * gigabytes. Each length is checked against the remaining bytes of the frame, and the
+ * total number of elements against a limit, before anything is allocated. A frame
+ * therefore takes no more memory than a small multiple of its size.
  */
 final class FrameReader {
 
@@ -44,9 +44,9 @@
 	private int elementCount;
 
 	/**
-	 * Reads a frame.
-	 * @param peer the peer, for messages of faults
-	 * @param frame the frame without its length
+	 * Creates a reader for a frame.
+	 * @param peer the peer, for error messages
+	 * @param frame the frame without its length prefix
 	 */
 	FrameReader(String peer, byte[] frame) {
 		this.peer = peer;
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Enters a list of fields.
+	 * Begins an array of fields.
 	 */
 	void beginArray() {
 		int size = read(this.unpacker::unpackArrayHeader);
@@ -64,16 +64,16 @@
 	}
 
 	/**
-	 * Whether the list that was entered has another field; a newer version's fields come
-	 * after those of an older one.
-	 * @return whether it has
+	 * Whether the current array or map has another value. Fields that a newer version
+	 * adds come after those of the older one.
+	 * @return true if there is another value
 	 */
 	boolean hasNext() {
 		return this.remaining[this.depth] > 0;
 	}
 
 	/**
-	 * Leaves a list of fields; what a newer version added to it is skipped.
+	 * Ends an array of fields; fields that a newer version added to it are skipped.
 	 */
 	void endArray() {
 		while (hasNext()) {
@@ -113,11 +113,11 @@
 	}
 
 	/**
-	 * A constant by its name.
-	 * @param <E> the enum
-	 * @param type its class
+	 * Reads an enum constant by its name.
+	 * @param <E> the type of the enum
+	 * @param type the class of the enum
 	 * @return the constant
-	 * @throws UnknownConstantException if this version has none of that name
+	 * @throws UnknownConstantException if this version has no constant of that name
 	 */
 	<E extends Enum<E>> E readEnum(Class<E> type) {
 		String name = readString();
@@ -130,8 +130,8 @@
 	}
 
 	/**
-	 * Whether the next value is nil; if so it is taken.
-	 * @return whether it was
+	 * Consumes the next value if it is nil.
+	 * @return true if it was nil
 	 */
 	boolean tryReadNil() {
 		return hasNext() && read(this.unpacker::tryUnpackNil, false);
@@ -159,7 +159,7 @@
 	}
 
 	/**
-	 * Skips one value of any kind.
+	 * Skips one value of any type.
 	 */
 	void skipValue() {
 		ValueType type = peekType();
@@ -181,7 +181,7 @@
 	}
 
 	/**
-	 * Has to be called last: nothing may follow the message.
+	 * Checks that no bytes follow the message. Must be called last.
 	 */
 	void expectEnd() {
 		if (remainingBytes() > 0) {
@@ -251,7 +251,7 @@
 	}
 
 	/**
-	 * One step of reading.
+	 * A read operation on the unpacker.
 	 */
 	@FunctionalInterface
 	private interface ReadOperation<T> {
@@ -261,7 +261,8 @@
 	}
 
 	/**
-	 * A constant that a newer version has and this one does not.
+	 * Thrown for an enum constant that this version does not have, for instance one that
+	 * a newer version added.
 	 */
 	static final class UnknownConstantException extends RuntimeException {
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameWriter.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameWriter.java
@@ -14,9 +14,9 @@
  */
 final class FrameWriter {
 
-	// Most messages are heartbeats and orders of a hundred bytes; the library's default
-	// of 8 KiB for each would be nearly all of the garbage that a connection makes.
-	// Larger messages take further buffers.
+	// Most messages are heartbeats and commands of about a hundred bytes. With the
+	// library's default buffer of 8 KiB per message, the buffers would make up nearly all
+	// of the garbage of a connection. Larger messages allocate further buffers.
 	private static final MessagePack.PackerConfig PACKER_CONFIG = MessagePack.DEFAULT_PACKER_CONFIG.withBufferSize(512);
 
 	private final MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker();
@@ -88,7 +88,7 @@
 	}
 
 	/**
-	 * One step of writing.
+	 * A write operation on the packer.
 	 */
 	@FunctionalInterface
 	private interface PackOperation {
--- a/runtime/src/main/java/org/almondmount/wire/impl/Handshake.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/Handshake.java
@@ -14,23 +14,24 @@
 import org.almondmount.wire.WireException;
 
 /**
- * One side's half of the handshake. Not thread-safe.
+ * The state of one side of the handshake. Not thread-safe.
  * <p>
- * Dialer: hello. Listener: hello. Dialer: proof. Listener: proof. A proof is an HMAC by
- * the shared key over the prover's side and both hellos, which hold a fresh nonce each:
- * an old proof fits no new pair of hellos, and one side's proof sent back to it does not
- * pass for the other's. Whoever lacks the key gets no proof to try keys on before it has
- * given its own.
+ * The frames are in order: hello of the dialer, hello of the listener, proof of the
+ * dialer, proof of the listener. A proof is an HMAC with the shared key over the prover's
+ * side and both hellos. Each hello contains a fresh nonce, which prevents replay of an
+ * old proof; the side prevents reflection of a proof to its sender. The listener sends
+ * its proof only after it has verified that of the dialer, so a dialer without the key
+ * obtains no proof for an offline search of the key.
  */
 final class Handshake {
 
-	/** The largest frame before both sides are known. */
+	/** The size of the largest frame before both sides are authenticated. */
 	static final int MAX_FRAME_BYTES = 16 << 10;
 
-	/** The lowest version that this side speaks. */
+	/** The lowest protocol version that this side supports. */
 	static final int MIN_VERSION = 1;
 
-	/** The highest version that this side speaks. */
+	/** The highest protocol version that this side supports. */
 	static final int MAX_VERSION = 1;
 
 	private static final String MAGIC = "almondmount";
@@ -86,8 +87,8 @@
 	}
 
 	/**
-	 * Takes the other side's hello.
-	 * @param frame its bytes
+	 * Reads the hello of the remote side.
+	 * @param frame the bytes of the hello
 	 */
 	void receiveHello(byte[] frame) {
 		FrameReader in = new FrameReader(this.peerAddress, frame);
@@ -113,9 +114,9 @@
 	}
 
 	/**
-	 * Takes the other side's proof.
-	 * @param frame its bytes
-	 * @return who the other side is
+	 * Verifies the proof of the remote side.
+	 * @param frame the bytes of the proof
+	 * @return the description of the remote process
 	 */
 	PeerInfo verifyProof(byte[] frame) {
 		FrameReader in = new FrameReader(this.peerAddress, frame);
--- a/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
@@ -6,8 +6,8 @@
 import org.almondmount.wire.WireException;
 
 /**
- * Messages to frames and back. A frame is a MessagePack array: the kind's number, then
- * its fields in order.
+ * Encodes messages as frames and decodes frames. A frame is a MessagePack array: the code
+ * of the kind, then its fields in order.
  */
 final class MessageCodec {
 
@@ -21,12 +21,12 @@
 	}
 
 	/**
-	 * Reads a frame.
-	 * @param peer the peer, for messages of faults
-	 * @param frame the frame without its length
-	 * @return the message; {@link Message.Unknown} for a kind or a constant that this
-	 * version does not have
-	 * @throws WireException for bytes that are no message
+	 * Decodes a frame.
+	 * @param peer the peer, for error messages
+	 * @param frame the frame without its length prefix
+	 * @return the message; {@link Message.Unknown} for a kind or an enum constant that
+	 * this version does not have
+	 * @throws WireException if the bytes are not a valid message
 	 */
 	static Message decode(String peer, byte[] frame) {
 		FrameReader in = new FrameReader(peer, frame);
--- a/runtime/src/main/java/org/almondmount/wire/impl/MessageKind.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/MessageKind.java
@@ -14,9 +14,10 @@
 import org.almondmount.workflow.TaskId;
 
 /**
- * The kinds of messages with their number on the wire and their fields in order. A number
- * is never used for something else; a new field is only ever added at the end and read
- * only where it is there.
+ * The kinds of messages with their code on the wire and their fields in order. The names
+ * of the constants are fixed and can differ from those of the message records. For
+ * compatibility between versions a code is never reused, and a new field is only added at
+ * the end and read only if it is present.
  */
 enum MessageKind {
 
@@ -208,17 +209,17 @@
 	}
 
 	/**
-	 * The kind of a number.
-	 * @param code the number on the wire
-	 * @return the kind, or null where this version has none
+	 * Returns the kind for a code.
+	 * @param code the code on the wire
+	 * @return the kind, or null if this version has none for that code
 	 */
 	static MessageKind of(int code) {
 		return BY_CODE.get(code);
 	}
 
 	/**
-	 * The kind of a message.
-	 * @param message any message but an unknown one
+	 * Returns the kind of a message.
+	 * @param message any message except {@link Message.Unknown}
 	 * @return its kind
 	 */
 	static MessageKind of(Message message) {
--- a/runtime/src/main/java/org/almondmount/wire/impl/NettyPeerConnection.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/NettyPeerConnection.java
@@ -23,8 +23,9 @@
 import org.almondmount.wire.WireException;
 
 /**
- * One connection: first the handshake, then messages. {@link #send} and {@link #close}
- * are thread-safe; everything else belongs to the connection's event-loop thread.
+ * The Netty handler of one connection: first the handshake, then messages. {@link #peer},
+ * {@link #send} and {@link #close} are thread-safe; all other methods run only on the
+ * event-loop thread of the connection.
  */
 final class NettyPeerConnection extends SimpleChannelInboundHandler<ByteBuf> implements PeerConnection {
 
@@ -183,8 +184,8 @@
 		this.ready.complete(this);
 	}
 
-	// The other side is told why only while strangers are sorted out: an operator who
-	// mistyped the key reads the reason in both logs.
+	// The reason is sent to the peer only during the handshake, so that an operator who
+	// mistyped the key finds it in the logs of both sides.
 	private void closeOnFailure(WireException failure) {
 		CloseReason reason = failure.reason();
 		if (!this.open) {
@@ -208,10 +209,10 @@
 		this.channel.eventLoop().schedule(() -> checkSilence(dueNanos), delayNanos, TimeUnit.NANOSECONDS);
 	}
 
-	// After a pause of this process the timer comes before the bytes that have arrived
-	// meanwhile. They would make a live peer look silent, so a late timer waits once
-	// more, which gives the bytes their turn; a peer that is silent is dropped by the
-	// next one.
+	// After a pause of this process the timer runs before the bytes that arrived during
+	// the pause are read, so a live peer would appear silent. A timer that runs late is
+	// therefore rescheduled, which lets those bytes be read first. A peer that is really
+	// silent is disconnected by the next timer.
 	private void checkSilence(long dueNanos) {
 		if (!this.open) {
 			return;
--- a/runtime/src/main/java/org/almondmount/wire/impl/NettyWireEndpoint.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/NettyWireEndpoint.java
@@ -27,7 +27,7 @@
 import org.almondmount.wire.WireException;
 
 /**
- * Connections between processes over TCP on Netty. Thread-safe.
+ * Accepts and opens connections between processes over TCP, on Netty. Thread-safe.
  */
 public final class NettyWireEndpoint implements WireEndpoint {
 
@@ -109,8 +109,8 @@
 		return refused ? CloseReason.REFUSED : CloseReason.IO_ERROR;
 	}
 
-	// A stranger costs a little memory until its handshake ends or times out. Without a
-	// bound on their number many strangers could take all of it.
+	// Each unauthenticated peer takes some memory until its handshake ends or times out.
+	// Without a limit on pending handshakes, many such peers could exhaust the memory.
 	private void accept(SocketChannel channel, PeerInfo self, PeerSettings settings, PeerListener listener) {
 		if (this.pendingHandshakes.get() >= MAX_PENDING_HANDSHAKES) {
 			this.metrics.recordClosed(CloseReason.TOO_MANY_HANDSHAKES);
--- a/runtime/src/main/java/org/almondmount/wire/impl/ValueCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/ValueCodec.java
@@ -27,8 +27,8 @@
 import org.almondmount.wire.PeerInfo;
 
 /**
- * The values that messages are made of. Each is a list of fields; new fields are only
- * ever added at the end.
+ * Encodes and decodes the values inside messages. Each value is an array of fields; new
+ * fields are only added at the end, so that older versions can skip them.
  */
 final class ValueCodec {
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/WireMetrics.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/WireMetrics.java
@@ -6,7 +6,7 @@
 import org.almondmount.wire.SendRefusal;
 
 /**
- * What is counted about connections between processes. Thread-safe.
+ * The metrics of connections between processes. Thread-safe.
  */
 final class WireMetrics {
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/WorkflowCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/WorkflowCodec.java
@@ -11,8 +11,8 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * The values of messages about workflows. Each is a list of fields; new fields are only
- * ever added at the end.
+ * Encodes and decodes the values inside messages about workflows. Each value is an array
+ * of fields; new fields are only added at the end, so that older versions can skip them.
  */
 final class WorkflowCodec {
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/package-info.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The Netty and MessagePack side of the protocol between processes.
+ * The implementation of the protocol between processes on Netty and MessagePack.
  */
 package org.almondmount.wire.impl;
--- a/runtime/src/test/java/org/almondmount/concurrent/EventProcessorTests.java
+++ b/runtime/src/test/java/org/almondmount/concurrent/EventProcessorTests.java
@@ -19,8 +19,8 @@
 
 	@Test
 	void offerDuringParkWakesTheThread() {
-		// Whoever offers comes just as the duty goes to sleep. If the wake-up were lost,
-		// the element would lie there until the nap's end, here ten minutes.
+		// An element is offered just as the thread is about to park. If the wake-up were
+		// lost, the element would stay queued until the park timeout, here ten minutes.
 		AtomicInteger done = new AtomicInteger();
 		try (EventProcessor<Integer> processor = new EventProcessor<>("test-duty", 16,
 				(element) -> done.incrementAndGet(), (fault) -> {
--- a/runtime/src/test/java/org/almondmount/wire/impl/MessageCodecTests.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/MessageCodecTests.java
@@ -39,8 +39,8 @@
 
 	@Test
 	void kindOfNewerVersionIsDecodedAsUnknown() {
-		// In a rolling upgrade a newer process sends a kind that this one has never heard
-		// of. It may cost neither the connection nor the messages after it.
+		// During a rolling upgrade a newer process sends a kind that this version does
+		// not know. This must not close the connection or lose the messages that follow.
 		byte[] frame = new FrameWriter().writeArrayHeader(3)
 			.writeLong(9_999)
 			.writeString("new")
@@ -52,8 +52,9 @@
 
 	@Test
 	void fieldsOfANewerVersionAreSkipped() {
-		// In a rolling upgrade a newer process adds fields to a message and to a value
-		// inside it. The fields that this one knows keep their places, so it reads those.
+		// During a rolling upgrade a newer process adds fields to a message and to a
+		// value inside it. The known fields keep their positions, so this version reads
+		// those.
 		FrameWriter out = new FrameWriter();
 		out.writeArrayHeader(5).writeLong(MessageKind.MEMBER_USAGE.code());
 		out.writeArrayHeader(3).writeString("job-1").writeLong(3).writeString("new");
@@ -75,8 +76,9 @@
 
 	@Test
 	void excessiveLengthIsRejectedBeforeAllocation() {
-		// Five bytes claim a body of two gigabytes. Taken at their word they would end
-		// the process; they are held against the frame's own length first.
+		// Five bytes announce a body of two gigabytes. Allocating it would exhaust the
+		// memory of the process, so the length is first checked against that of the
+		// frame.
 		byte[] frame = { (byte) 0x93, 18, 1, (byte) 0xdb, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff };
 		assertThat(decodeFailure(frame).reason()).isEqualTo(CloseReason.BAD_BYTES);
 		byte[] listFrame = { (byte) 0xdd, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff };
--- a/runtime/src/test/java/org/almondmount/wire/impl/MessageSamples.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/MessageSamples.java
@@ -36,7 +36,7 @@
 import org.almondmount.workflow.WorkerReport;
 
 /**
- * One message of each kind, for tests.
+ * Sample messages for tests: one of each kind.
  */
 final class MessageSamples {
 
--- a/runtime/src/test/java/org/almondmount/wire/impl/MessageSizeTests.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/MessageSizeTests.java
@@ -22,8 +22,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The sizes on which docs/CAPACITY.md calculates, so that a message that grows is
- * noticed.
+ * Guards the message sizes on which the calculations in docs/CAPACITY.md are based: a
+ * message that outgrows its bound fails a test.
  */
 class MessageSizeTests {
 
--- a/runtime/src/test/java/org/almondmount/wire/impl/NettyWireEndpointTests.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/NettyWireEndpointTests.java
@@ -34,7 +34,10 @@
 
 	private static final String SHARED_KEY = "a key that both sides know";
 
-	/** A timeout that no test waits for: longer than a busy machine holds a thread up. */
+	/**
+	 * A timeout that never expires in a test: longer than the delay of a thread on a busy
+	 * machine.
+	 */
 	private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
 
 	private static final PeerSettings SETTINGS = new PeerSettings(SHARED_KEY, LONG_TIMEOUT, LONG_TIMEOUT, 100_000,
@@ -104,9 +107,8 @@
 
 	@Test
 	void reflectedProofIsRejected() throws IOException {
-		// A stranger without the key sends our own bytes back to us: our hello as its
-		// hello and our proof as its proof. The proof is made over the side as well, so
-		// it fails.
+		// An attacker without the key reflects the dialer's hello and proof as its own.
+		// The proof also covers the side that made it, so the verification fails.
 		try (ServerSocket attacker = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
 			CompletableFuture<PeerConnection> dialled = this.endpoint.dial(
 					(InetSocketAddress) attacker.getLocalSocketAddress(), MessageSamples.target("worker-1"), SETTINGS,
@@ -140,8 +142,8 @@
 
 	@Test
 	void badBytesCloseOnlyTheirOwnConnection() throws IOException {
-		// One connection brings junk. It is closed and counted; the connection beside it
-		// goes on as if nothing had been.
+		// One connection receives invalid bytes. It is closed and counted; another
+		// connection of the same endpoint is not affected.
 		PeerConnection otherConnection = dial(SETTINGS);
 		try (Socket peer = connect()) {
 			sendFrame(peer, new byte[] { (byte) 0xc1, 5, 6 });
@@ -154,8 +156,9 @@
 
 	@Test
 	void silentPeerIsDisconnectedAndReportedOnce() {
-		// The peer's process is frozen or something between has lost the connection: no
-		// bytes, no end. The heartbeat timeout ends it, long before TCP would.
+		// The peer's process is frozen, or a device in between has dropped the
+		// connection: neither bytes nor an end of stream arrive. The heartbeat timeout
+		// closes the connection long before TCP would.
 		this.listeningSocket.close();
 		listen(new PeerSettings(SHARED_KEY, Duration.ofMillis(300), LONG_TIMEOUT, 100_000, 200_000));
 		PeerConnection connection = dial(SETTINGS);
@@ -185,8 +188,8 @@
 
 	@Test
 	void sendIsRefusedWhenPeerDoesNotRead() throws IOException {
-		// The peer takes nothing from the network. What waits for it is bounded: beyond
-		// the bound send says false and nothing of that message will be sent.
+		// The peer reads nothing from the network. The outstanding bytes are bounded:
+		// beyond the bound send returns false and no part of that message is sent.
 		Handshake handshake = new Handshake(true, SETTINGS.sharedKey(), MessageSamples.target("worker-1"), "test");
 		try (Socket peer = connect()) {
 			sendFrame(peer, handshake.helloFrame());
--- a/runtime/src/test/java/org/almondmount/wire/impl/RecordingListener.java
+++ b/runtime/src/test/java/org/almondmount/wire/impl/RecordingListener.java
@@ -9,7 +9,7 @@
 import org.almondmount.wire.PeerListener;
 
 /**
- * Keeps what it hears.
+ * Records all events of its connections.
  */
 final class RecordingListener implements PeerListener {
 
