--- a/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
+++ b/daemon/src/main/java/org/almondmount/daemon/target/TargetDecisions.java
@@ -145,7 +145,7 @@
 	private void closed(long now, PeerConnection connection, CloseReason reason) {
 		Optional<EntryLink> link = this.entries.closed(now, connection);
 		if (link.isPresent()) {
-			LOG.warn("entry-lost", "entry", link.get().entry(), "reason", reason.word());
+			LOG.warn("entry-lost", "entry", link.get().entry(), "reason", reason.externalName());
 			this.slots.handle(now, new SlotEvent.EntryLost(link.get().entry()));
 		}
 	}
@@ -197,9 +197,9 @@
 		}
 		this.slots.handle(now, new SlotEvent.LoanConfirmed(link.entry(), beat.get().loans()));
 		reply.entries().forEach((address) -> this.entries.heardOf(now, address));
-		reply.forgotten().forEach((attempt) -> this.members.handle(now, new MemberEvent.EndRecorded(attempt)));
+		reply.recordedAttempts().forEach((attempt) -> this.members.handle(now, new MemberEvent.EndRecorded(attempt)));
 		long age = now - beat.get().sentAt();
-		reply.wholeAttempts()
+		reply.fullyRunningAttempts()
 			.forEach((attempt) -> this.members.handle(now, new MemberEvent.GangConfirmedRunning(attempt, age)));
 		boolean behind = !this.configurationKnown || reply.revision() > this.configuration.revision();
 		if (behind) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -94,7 +94,7 @@
 
 	private volatile FleetConfiguration configuration = FleetConfiguration.NONE;
 
-	private volatile WireEndpoint.Listening listening;
+	private volatile WireEndpoint.ListeningSocket listening;
 
 	private int tickCount;
 
@@ -365,7 +365,7 @@
 	}
 
 	private void onDisconnected(PeerConnection connection, CloseReason reason) {
-		LOG.info("peer-lost", "peer", connection.peer().name(), "reason", reason.word());
+		LOG.info("peer-lost", "peer", connection.peer().name(), "reason", reason.externalName());
 		if (connection.peer().role() == PeerInfo.Role.TARGET) {
 			this.targets.onDisconnected(connection);
 			return;
@@ -400,7 +400,7 @@
 	// epoch resigns.
 	private void onEntryHeartbeat(PeerInfo peer, Message.EntryHeartbeat heartbeat) {
 		if (heartbeat.holder()) {
-			this.term.onHolderAnnounced(heartbeat.epoch(), heartbeat.commit(), peer.name(), peer.address());
+			this.term.onHolderAnnounced(heartbeat.epoch(), heartbeat.lastCommit(), peer.name(), peer.address());
 		}
 		else if (heartbeat.epoch() > 0) {
 			this.term.onHolderResigned(heartbeat.epoch());
@@ -464,19 +464,19 @@
 	private final class Listener implements PeerListener {
 
 		@Override
-		public void opened(PeerConnection connection) {
+		public void onConnected(PeerConnection connection) {
 			FleetEntry.this.loop.execute(() -> FleetEntry.this.onConnected(connection));
 		}
 
 		@Override
-		public void received(PeerConnection connection, Message message) {
+		public void onMessage(PeerConnection connection, Message message) {
 			if (!FleetEntry.this.loop.execute(() -> FleetEntry.this.onMessage(connection, message))) {
 				connection.close(CloseReason.LOCAL);
 			}
 		}
 
 		@Override
-		public void closed(PeerConnection connection, CloseReason reason) {
+		public void onDisconnected(PeerConnection connection, CloseReason reason) {
 			FleetEntry.this.loop.execute(() -> FleetEntry.this.onDisconnected(connection, reason));
 		}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -256,11 +256,11 @@
 						workerAnswers ? this.leaseMillis : 0);
 			}
 		}
-		else if (message instanceof Message.WorkerTold report && this.loaded) {
+		else if (message instanceof Message.WorkerStatus report && this.loaded) {
 			process(new WorkflowEvent.WorkerReported(report.report()));
 		}
-		else if (message instanceof Message.RunNotBegun refused && this.loaded) {
-			process(new WorkflowEvent.RunRefused(target, refused.task(), refused.run(), refused.why()));
+		else if (message instanceof Message.RunNotStarted refused && this.loaded) {
+			process(new WorkflowEvent.RunRefused(target, refused.task(), refused.run(), refused.reason()));
 		}
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
@@ -51,7 +51,7 @@
 		}
 		long epoch = this.term.epoch();
 		if (!this.targets.send(ends.target(),
-				(heartbeat) -> new Message.EndsKept(epoch, ends.incarnation(), ends.upToSequence()))) {
+				(heartbeat) -> new Message.EndsRecorded(epoch, ends.incarnation(), ends.upToSequence()))) {
 			this.telemetry.count(UNDELIVERED_METRIC, UndeliveredReason.TARGET_NOT_CONNECTED);
 		}
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -165,11 +165,11 @@
 			send(new Message.TargetAlive(heartbeat.heartbeat()));
 		}
 		else if (command instanceof WorkerCommand.SendReport report) {
-			send(new Message.WorkerTold(report.report()));
+			send(new Message.WorkerStatus(report.report()));
 		}
 		else if (command instanceof WorkerCommand.SendRunNotStarted refused) {
 			LOG.info("run-not-begun", "task", refused.task(), "run", refused.run(), "why", refused.reason());
-			send(new Message.RunNotBegun(refused.task(), refused.run(), refused.reason()));
+			send(new Message.RunNotStarted(refused.task(), refused.run(), refused.reason()));
 		}
 		else if (command instanceof WorkerCommand.IgnoreOrder ignored) {
 			this.telemetry.count(IGNORED_COMMANDS_METRIC, ignored.reason());
@@ -235,7 +235,7 @@
 		if (message instanceof Message.EntryHeartbeat heartbeat) {
 			onEntryHeartbeat(connection, heartbeat);
 		}
-		else if (message instanceof Message.HolderIs announcement) {
+		else if (message instanceof Message.HolderAnnouncement announcement) {
 			if (this.holderSearch.holder().isEmpty()) {
 				this.holderSearch.dial(announcement.address());
 			}
@@ -263,20 +263,20 @@
 			process(new WorkerEvent.LeaseGranted(granted.epoch(), granted.heartbeat(), granted.leaseMillis()));
 		}
 		else if (message instanceof Message.RunStart start) {
-			process(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.life(), start.task(),
+			process(new WorkerEvent.StartOrdered(start.epoch(), start.heartbeat(), start.incarnation(), start.task(),
 					start.run(), start.program(), start.checkpoint(), start.capacity()));
 		}
 		else if (message instanceof Message.RunStop stop) {
-			process(new WorkerEvent.StopOrdered(stop.epoch(), stop.life(), stop.task(), stop.run()));
+			process(new WorkerEvent.StopOrdered(stop.epoch(), stop.incarnation(), stop.task(), stop.run()));
 		}
-		else if (message instanceof Message.EndsKept recorded) {
-			process(new WorkerEvent.EndsRecorded(recorded.epoch(), recorded.life(), recorded.upTo()));
+		else if (message instanceof Message.EndsRecorded recorded) {
+			process(new WorkerEvent.EndsRecorded(recorded.epoch(), recorded.incarnation(), recorded.upTo()));
 		}
 	}
 
 	private void onDisconnected(PeerConnection connection, CloseReason reason) {
 		if (this.holderSearch.onDisconnected(connection)) {
-			onHolderLost(reason.word());
+			onHolderLost(reason.externalName());
 		}
 	}
 
@@ -292,19 +292,19 @@
 	private final class Listener implements PeerListener {
 
 		@Override
-		public void opened(PeerConnection connection) {
+		public void onConnected(PeerConnection connection) {
 			FleetTarget.this.loop.execute(() -> FleetTarget.this.holderSearch.onConnected(connection));
 		}
 
 		@Override
-		public void received(PeerConnection connection, Message message) {
+		public void onMessage(PeerConnection connection, Message message) {
 			if (!FleetTarget.this.loop.execute(() -> FleetTarget.this.onMessage(connection, message))) {
 				connection.close(CloseReason.LOCAL);
 			}
 		}
 
 		@Override
-		public void closed(PeerConnection connection, CloseReason reason) {
+		public void onDisconnected(PeerConnection connection, CloseReason reason) {
 			FleetTarget.this.loop.execute(() -> FleetTarget.this.onDisconnected(connection, reason));
 		}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWire.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWire.java
@@ -102,12 +102,12 @@
 		}
 
 		@Override
-		public CompletableFuture<Listening> listen(InetSocketAddress address, PeerInfo info, PeerSettings settings,
-				PeerListener accepted) {
+		public CompletableFuture<ListeningSocket> listen(InetSocketAddress address, PeerInfo info,
+				PeerSettings settings, PeerListener accepted) {
 			this.self = info;
 			this.listener = accepted;
 			SimWire.this.listeners.put(address, this);
-			return CompletableFuture.completedFuture(new Listening() {
+			return CompletableFuture.completedFuture(new ListeningSocket() {
 
 				@Override
 				public InetSocketAddress address() {
@@ -182,7 +182,7 @@
 		void open() {
 			this.owner.openSides.add(this);
 			this.lastReceivedAt = SimWire.this.clock.now();
-			this.listener.opened(this);
+			this.listener.onConnected(this);
 			checkHeartbeat();
 		}
 
@@ -217,7 +217,7 @@
 			if (!this.closed && !this.owner.dead) {
 				this.lastReceivedAt = SimWire.this.clock.now();
 				SimWire.this.messageObserver.accept(this.owner.vm, message);
-				this.listener.received(this, message);
+				this.listener.onMessage(this, message);
 			}
 		}
 
@@ -235,7 +235,7 @@
 				this.closed = true;
 				this.owner.openSides.remove(this);
 				if (!this.owner.dead) {
-					this.listener.closed(this, reason);
+					this.listener.onDisconnected(this, reason);
 				}
 			}
 		}
--- /dev/null
+++ b/runtime/src/main/java/org/almondmount/concurrent/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Single threads that process the elements of a bounded queue.
+ */
+package org.almondmount.concurrent;
--- a/runtime/src/main/java/org/almondmount/duty/package-info.java
+++ /dev/null
@@ -1,4 +0,0 @@
-/**
- * Threads with one duty each, joined by bounded rings.
- */
-package org.almondmount.duty;
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
@@ -7,8 +7,9 @@
 import io.netty.handler.codec.TooLongFrameException;
 
 /**
- * Cuts the stream into frames: four bytes of length, then that many bytes. The limit is
- * low until the peer has proved itself, so a stranger can't have memory taken for it.
+ * Splits the stream into frames: a length of four bytes, then that many bytes. The limit
+ * is low until the peer is authenticated, so that an unauthenticated peer cannot make
+ * this process allocate much memory.
  */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
 
@@ -20,14 +21,14 @@
 		super(maxFrameBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
 	}
 
-	void trust() {
+	void markTrusted() {
 		this.trusted = true;
 	}
 
 	@Override
 	protected long getUnadjustedFrameLength(ByteBuf buf, int offset, int length, ByteOrder order) {
 		long size = super.getUnadjustedFrameLength(buf, offset, length, order);
-		if (!this.trusted && size > Handshake.LARGEST_FRAME) {
+		if (!this.trusted && size > Handshake.MAX_FRAME_BYTES) {
 			throw new TooLongFrameException("a frame of " + size + " bytes before the handshake");
 		}
 		return size;
--- a/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
@@ -6,8 +6,8 @@
 import org.almondmount.wire.WireException;
 
 /**
- * Messages to frames and back. A frame is a MessagePack array: the kind's number, then
- * its fields in order.
+ * Encodes messages as frames and decodes frames. A frame is a MessagePack array: the code
+ * of the kind, then its fields in order.
  */
 final class MessageCodec {
 
@@ -21,38 +21,38 @@
 	}
 
 	/**
-	 * Reads a frame.
-	 * @param from the peer, for messages of faults
-	 * @param frame the frame without its length
-	 * @return the message; {@link Message.Unknown} for a kind or a constant that this
-	 * version does not have
-	 * @throws WireException for bytes that are no message
+	 * Decodes a frame.
+	 * @param peer the peer, for error messages
+	 * @param frame the frame without its length prefix
+	 * @return the message; {@link Message.Unknown} for a kind or an enum constant that
+	 * this version does not have
+	 * @throws WireException if the bytes are not a valid message
 	 */
-	static Message decode(String from, byte[] frame) {
-		FrameReader in = new FrameReader(from, frame);
-		in.enter();
-		int code = in.smallNumber();
+	static Message decode(String peer, byte[] frame) {
+		FrameReader in = new FrameReader(peer, frame);
+		in.beginArray();
+		int code = in.readInt();
 		MessageKind kind = MessageKind.of(code);
 		if (kind == null) {
-			in.leave();
-			in.end();
+			in.endArray();
+			in.expectEnd();
 			return new Message.Unknown(code);
 		}
 		try {
 			Message message = kind.read(in);
-			in.leave();
-			in.end();
+			in.endArray();
+			in.expectEnd();
 			return message;
 		}
 		catch (FrameReader.UnknownConstantException ex) {
 			return new Message.Unknown(code);
 		}
 		catch (InvalidValueException ex) {
-			throw in.bad(invalid(ex));
+			throw in.malformed(describeInvalidField(ex));
 		}
 	}
 
-	private static String invalid(AlmondmountException ex) {
+	private static String describeInvalidField(AlmondmountException ex) {
 		return "a field breaks its rule (" + ex.location() + ")";
 	}
 
