--- a/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -321,7 +321,7 @@
 		else if (command instanceof WorkflowCommand.CancellationPersisted persisted) {
 			List<Consumer<Boolean>> waiting = this.pendingCancels.remove(persisted.job());
 			if (waiting != null) {
-				waiting.forEach((taker) -> taker.accept(true));
+				waiting.forEach((callback) -> callback.accept(true));
 			}
 		}
 		else if (command instanceof WorkflowCommand.StartRun start) {
--- a/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
@@ -99,11 +99,11 @@
 	}
 
 	private List<String> rotatedAddresses() {
-		List<String> order = new ArrayList<>(this.knownAddresses);
-		if (!order.isEmpty()) {
-			Collections.rotate(order, Math.floorMod(this.startOffset, order.size()));
+		List<String> addresses = new ArrayList<>(this.knownAddresses);
+		if (!addresses.isEmpty()) {
+			Collections.rotate(addresses, Math.floorMod(this.startOffset, addresses.size()));
 		}
-		return order;
+		return addresses;
 	}
 
 	void dial(String address) {
