--- a/fleet/src/main/java/org/almondmount/fleet/AdaptiveStoreTimeout.java
+++ b/fleet/src/main/java/org/almondmount/fleet/AdaptiveStoreTimeout.java
@@ -13,9 +13,7 @@
  */
 public final class AdaptiveStoreTimeout {
 
-	/**
-	 * Lower bound in milliseconds: the process itself may pause for this long.
-	 */
+	/** Lower bound in milliseconds: the process itself may pause for this long. */
 	private static final double MIN_TIMEOUT_MILLIS = 150;
 
 	/**
@@ -24,14 +22,10 @@
 	 */
 	private static final double MAX_TIMEOUT_MILLIS = 1_200;
 
-	/**
-	 * All but one in some thousand answers arrive within six times the average.
-	 */
+	/** Only one answer in several thousand takes longer than six times the average. */
 	private static final double AVERAGE_MULTIPLIER = 6;
 
-	/**
-	 * Longest duration of an answer of a store that is not slow, in milliseconds.
-	 */
+	/** Longest duration of an answer of a store that is not slow, in milliseconds. */
 	private static final long MAX_QUICK_ANSWER_MILLIS = 100;
 
 	private static final double SMOOTHING_FACTOR = 0.3;
@@ -102,9 +96,7 @@
 		this.onSilence = listener;
 	}
 
-	/**
-	 * Records a call without an answer.
-	 */
+	/** Records a call without an answer. */
 	public void onTimeout() {
 		this.consecutiveTimeouts = Math.min(MAX_DOUBLINGS, this.consecutiveTimeouts + 1);
 		boolean wasAnswering = this.answering;
--- a/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
@@ -10,9 +10,7 @@
  */
 public interface EventLoop extends AutoCloseable {
 
-	/**
-	 * Starts to run tasks.
-	 */
+	/** Starts to run tasks. */
 	void start();
 
 	/**
--- a/fleet/src/main/java/org/almondmount/fleet/JobAnswer.java
+++ b/fleet/src/main/java/org/almondmount/fleet/JobAnswer.java
@@ -21,9 +21,7 @@
 
 	}
 
-	/**
-	 * The job does not exist.
-	 */
+	/** The job does not exist. */
 	record NoSuchJob() implements JobAnswer {
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/Submission.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Submission.java
@@ -9,9 +9,7 @@
  */
 public sealed interface Submission {
 
-	/**
-	 * The job is stored and will run.
-	 */
+	/** The job is stored and will run. */
 	record Accepted() implements Submission {
 	}
 
--- a/fleet/src/main/java/org/almondmount/fleet/Tables.java
+++ b/fleet/src/main/java/org/almondmount/fleet/Tables.java
@@ -7,24 +7,16 @@
  */
 public final class Tables {
 
-	/**
-	 * Jobs and cancellations as submitted by callers; written by any entry.
-	 */
+	/** Jobs and cancellations as submitted by callers; written by any entry. */
 	public static final String INTAKE = "intake";
 
-	/**
-	 * The progress of jobs; written only by the holder of the term.
-	 */
+	/** The progress of jobs; written only by the holder of the term. */
 	public static final String PROGRESS = "progress";
 
-	/**
-	 * Entries and the addresses on which they accept peers.
-	 */
+	/** Entries and the addresses on which they accept peers. */
 	public static final String ENTRIES = "entries";
 
-	/**
-	 * The row that names the holder of the term.
-	 */
+	/** The row that names the holder of the term. */
 	public static final Place TERM = new Place("term", "holder");
 
 	private static final String JOB_KEY_PREFIX = "job/";
--- a/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
@@ -43,9 +43,7 @@
 
 	private static final int PAGE_SIZE = 500;
 
-	/**
-	 * A page of rows is larger than other answers and takes longer.
-	 */
+	/** A page of rows is larger than other answers and takes longer. */
 	private static final Duration PAGE_READ_TIMEOUT = Duration.ofMillis(1_000);
 
 	private final RowStore store;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/EntryCalls.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/EntryCalls.java
@@ -12,35 +12,25 @@
  */
 final class EntryCalls {
 
-	/**
-	 * Notifies the holder of a job that another entry accepted.
-	 */
+	/** Notifies the holder of a job that another entry accepted. */
 	static final String ACCEPTED = "accepted";
 
 	/** Asks another entry to accept a job. */
 	static final String SUBMIT = "submit";
 
-	/**
-	 * Notifies the holder of a cancellation that is stored beside its job.
-	 */
+	/** Notifies the holder of a cancellation that is stored beside its job. */
 	static final String CANCEL_PERSISTED = "cancel-kept";
 
-	/**
-	 * Asks the holder for the phase of a job.
-	 */
+	/** Asks the holder for the phase of a job. */
 	static final String PHASE = "phase";
 
 	/** Asks the holder to cancel a job. */
 	static final String CANCEL = "cancel";
 
-	/**
-	 * Asks the holder for the number of queued jobs of a queue.
-	 */
+	/** Asks the holder for the number of queued jobs of a queue. */
 	static final String WAITING = "waiting";
 
-	/**
-	 * Header of the answer to {@link #PHASE}: why the job failed.
-	 */
+	/** Header of the answer to {@link #PHASE}: why the job failed. */
 	static final String REASON_HEADER = "why";
 
 	static final int OK = 200;
@@ -51,9 +41,7 @@
 
 	static final int UNSETTLED = 504;
 
-	/**
-	 * Time for the holder to answer from memory before the store is read instead.
-	 */
+	/** Time for the holder to answer from memory before the store is read instead. */
 	static final long HOLDER_TIMEOUT_MILLIS = 500;
 
 	/**
@@ -62,9 +50,7 @@
 	 */
 	private static final long NOTIFY_RETRY_DELAY_MILLIS = 200;
 
-	/**
-	 * After this many attempts the holder has read the store itself.
-	 */
+	/** After this many attempts the holder has read the store itself. */
 	private static final int MAX_NOTIFICATION_ATTEMPTS = 10;
 
 	private final TermDriver term;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/FleetEntry.java
@@ -48,9 +48,7 @@
 
 	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
-	/**
-	 * Entries that do not hold the term send a heartbeat at every third tick.
-	 */
+	/** Entries that do not hold the term send a heartbeat at every third tick. */
 	private static final int TICKS_PER_NON_HOLDER_HEARTBEAT = 3;
 
 	private final FleetSettings settings;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/IntakeAttempt.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/IntakeAttempt.java
@@ -35,9 +35,7 @@
 
 	private final CompletableFuture<Submission> outcome;
 
-	/**
-	 * Addresses of the entries that the job was forwarded to.
-	 */
+	/** Addresses of the entries that the job was forwarded to. */
 	private final Set<String> forwardedTo = new HashSet<>();
 
 	private boolean accepted;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobIntake.java
@@ -42,9 +42,7 @@
 	/** Jobs that were not accepted, by reason. */
 	private static final String REFUSALS_METRIC = "intake";
 
-	/**
-	 * No known caller waits longer than this for its job to be accepted.
-	 */
+	/** No known caller waits longer than this for its job to be accepted. */
 	private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(3);
 
 	/**
@@ -52,14 +50,10 @@
 	 */
 	private static final long SLOW_ANSWER_MILLIS = 950;
 
-	/**
-	 * Interval at which the queue is checked, in milliseconds.
-	 */
+	/** Interval at which the queue is checked, in milliseconds. */
 	private static final long QUEUE_CHECK_INTERVAL_MILLIS = 50;
 
-	/**
-	 * Delay between two writes that retry a store which refused, in milliseconds.
-	 */
+	/** Delay between two writes that retry a store which refused, in milliseconds. */
 	private static final long RETRY_INTERVAL_MILLIS = 150;
 
 	/**
@@ -95,9 +89,7 @@
 
 	private final IntakeLine<IntakeAttempt> queue = new IntakeLine<>(this.policy.mostWaiting());
 
-	/**
-	 * Jobs for which it is unknown whether they were accepted, oldest first.
-	 */
+	/** Jobs for which it is unknown whether they were accepted, oldest first. */
 	private final Set<String> unsettledJobs = new LinkedHashSet<>();
 
 	private int pendingWriteCount;
@@ -158,9 +150,7 @@
 		return this.queue.size() > 0;
 	}
 
-	/**
-	 * Writes queued jobs when the store answers again.
-	 */
+	/** Writes queued jobs when the store answers again. */
 	void onStoreAnswering() {
 		writeQueued(MAX_CONCURRENT_WRITES);
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
@@ -32,19 +32,13 @@
 
 	private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
 
-	/**
-	 * Delay before a store call is repeated, in milliseconds.
-	 */
+	/** Delay before a store call is repeated, in milliseconds. */
 	private static final long STORE_RETRY_DELAY_MILLIS = 60;
 
-	/**
-	 * A cancellation waits for a commit of the holder.
-	 */
+	/** A cancellation waits for a commit of the holder. */
 	private static final long CANCEL_TIMEOUT_MILLIS = 1_500;
 
-	/**
-	 * Maximum age of a cached count.
-	 */
+	/** Maximum age of a cached count. */
 	private static final long MAX_COUNT_AGE_MILLIS = 800;
 
 	private final RowStore store;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/PeerLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/PeerLinks.java
@@ -19,14 +19,10 @@
  */
 final class PeerLinks {
 
-	/**
-	 * Delay before a failed address is dialled again, in milliseconds.
-	 */
+	/** Delay before a failed address is dialled again, in milliseconds. */
 	private static final long REDIAL_DELAY_MILLIS = 1_000;
 
-	/**
-	 * Consecutive failures after which an address is removed until it is added again.
-	 */
+	/** Consecutive failures after which an address is removed until it is added again. */
 	private static final int MAX_CONSECUTIVE_FAILURES = 30;
 
 	private final String ownAddress;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -45,19 +45,13 @@
 
 	private static final EventLog LOG = EventLog.of(SchedulerDriver.class);
 
-	/**
-	 * Core-seconds of finished work, by outcome.
-	 */
+	/** Core-seconds of finished work, by outcome. */
 	private static final String WORK_METRIC = "work";
 
-	/**
-	 * Failed jobs, by reason.
-	 */
+	/** Failed jobs, by reason. */
 	private static final String FAILED_JOBS_METRIC = "jobs.failed";
 
-	/**
-	 * Duration of a placement round.
-	 */
+	/** Duration of a placement round. */
 	private static final String PLACEMENT_METRIC = "placement";
 
 	private static final int PAGE_SIZE = 500;
@@ -69,9 +63,7 @@
 	 */
 	private static final int MAX_ORPHANS_PER_TRANSACTION = 45;
 
-	/**
-	 * A page of rows is larger than other answers and takes longer.
-	 */
+	/** A page of rows is larger than other answers and takes longer. */
 	private static final Duration PAGE_READ_TIMEOUT = Duration.ofMillis(1_000);
 
 	private static final long TICK_INTERVAL_MILLIS = 50;
@@ -121,9 +113,7 @@
 
 	private boolean intakeReadPending;
 
-	/**
-	 * Jobs beside which a cancellation is stored.
-	 */
+	/** Jobs beside which a cancellation is stored. */
 	private final Set<String> jobsWithCancelRow = new HashSet<>();
 
 	SchedulerDriver(WorkflowScheduler scheduler, RowStore store, EventLoop loop, Telemetry telemetry, TermDriver term,
--- a/fleet/src/main/java/org/almondmount/fleet/entry/StoreGossip.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/StoreGossip.java
@@ -44,14 +44,10 @@
 
 	private final Runnable probeStore;
 
-	/**
-	 * Entries whose last message was that the store is silent.
-	 */
+	/** Entries whose last message was that the store is silent. */
 	private final Set<String> silentEntries = new HashSet<>();
 
-	/**
-	 * Entries that the store has answered since it stopped answering this one.
-	 */
+	/** Entries that the store has answered since it stopped answering this one. */
 	private final Set<String> answeredEntries = new HashSet<>();
 
 	/**
@@ -69,9 +65,7 @@
 		storeTimeout.onSilence(this::onStoreSilent);
 	}
 
-	/**
-	 * Notifies the other entries that the store answers this one again.
-	 */
+	/** Notifies the other entries that the store answers this one again. */
 	void onStoreAnswering() {
 		broadcast(ANSWERS_METHOD);
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/StoreProbe.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/StoreProbe.java
@@ -25,9 +25,7 @@
 	 */
 	private static final long PROBE_INTERVAL_MILLIS = 100;
 
-	/**
-	 * Ticks per request while no caller waits.
-	 */
+	/** Ticks per request while no caller waits. */
 	private static final int TICKS_PER_PROBE_WHEN_IDLE = 3;
 
 	private final RowStore store;
@@ -75,9 +73,7 @@
 		});
 	}
 
-	/**
-	 * Sends a request at once, because another call or another entry got an answer.
-	 */
+	/** Sends a request at once, because another call or another entry got an answer. */
 	void probe() {
 		if (!this.storeTimeout.isSilenceExpected()) {
 			if (this.probing) {
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
@@ -14,9 +14,7 @@
 
 	private static final EventLog LOG = EventLog.of(TargetCommandSender.class);
 
-	/**
-	 * Commands that were not sent to their target, by reason.
-	 */
+	/** Commands that were not sent to their target, by reason. */
 	private static final String UNDELIVERED_METRIC = "orders.undelivered";
 
 	private final TermDriver term;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
@@ -50,7 +50,7 @@
 	}
 
 	/**
-	 * Handles the begin of this entry's own term, which invalidates the holder seen
+	 * Handles the start of this entry's own term, which invalidates the holder seen
 	 * before.
 	 * @param epoch the epoch of the term
 	 */
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TermDriver.java
@@ -353,9 +353,7 @@
 
 		private boolean answered;
 
-		/**
-		 * Whether the commit was sent again.
-		 */
+		/** Whether the commit was sent again. */
 		private boolean resent;
 
 		CommitCall(TermRow row, List<Write> writes, long sentAtMillis) {
@@ -388,9 +386,7 @@
 
 		void onHolderSeen(TermRow row);
 
-		/**
-		 * Called when this entry holds no term and will take none.
-		 */
+		/** Called when this entry holds no term and will take none. */
 		void onReleased();
 
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/UndeliveredReason.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/UndeliveredReason.java
@@ -11,9 +11,7 @@
 	 */
 	TARGET_NOT_CONNECTED,
 
-	/**
-	 * This entry no longer holds the term; the next holder decides again.
-	 */
+	/** This entry no longer holds the term; the next holder decides again. */
 	TERM_OVER
 
 }
--- a/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/FleetTarget.java
@@ -35,14 +35,10 @@
 
 	private static final EventLog LOG = EventLog.of(FleetTarget.class);
 
-	/**
-	 * Commands that were not executed, by reason.
-	 */
+	/** Commands that were not executed, by reason. */
 	private static final String IGNORED_COMMANDS_METRIC = "orders.ignored";
 
-	/**
-	 * Workers that ended without notice while they ran tasks.
-	 */
+	/** Workers that ended without notice while they ran tasks. */
 	private static final String CRASHED_WORKERS_METRIC = "workers.crashed";
 
 	private static final long TICK_INTERVAL_MILLIS = 100;
@@ -103,9 +99,7 @@
 		this.manager = new WorkerKeeper(settings.name(), WorkerPolicy.DEFAULT);
 	}
 
-	/**
-	 * Starts the target.
-	 */
+	/** Starts the target. */
 	public void start() {
 		LOG.info("target-started", "target", this.settings.name(), "zone", this.settings.zone());
 		this.loop.start();
--- a/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
@@ -40,9 +40,7 @@
 
 	private final Consumer<String> dialler;
 
-	/**
-	 * Position in the list of entries at which this target starts to dial.
-	 */
+	/** Position in the list of entries at which this target starts to dial. */
 	private final int startOffset;
 
 	private final Set<String> knownAddresses = new TreeSet<>();
@@ -82,9 +80,7 @@
 		}
 	}
 
-	/**
-	 * Dials the next entries if the holder is unknown.
-	 */
+	/** Dials the next entries if the holder is unknown. */
 	void dialNextEntries() {
 		if (this.holder.isPresent()) {
 			return;
