--- a/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
+++ b/fleet/src/main/java/org/almondmount/fleet/target/HolderSearch.java
@@ -40,9 +40,7 @@
 
 	private final Consumer<String> dialler;
 
-	/**
-	 * Position in the list of entries at which this target starts to dial.
-	 */
+	/** Position in the list of entries at which this target starts to dial. */
 	private final int startOffset;
 
 	private final Set<String> knownAddresses = new TreeSet<>();
@@ -82,9 +80,7 @@
 		}
 	}
 
-	/**
-	 * Dials the next entries if the holder is unknown.
-	 */
+	/** Dials the next entries if the holder is unknown. */
 	void dialNextEntries() {
 		if (this.holder.isPresent()) {
 			return;
@@ -99,11 +95,11 @@
 	}
 
 	private List<String> rotatedAddresses() {
-		List<String> order = new ArrayList<>(this.knownAddresses);
-		if (!order.isEmpty()) {
-			Collections.rotate(order, Math.floorMod(this.startOffset, order.size()));
+		List<String> addresses = new ArrayList<>(this.knownAddresses);
+		if (!addresses.isEmpty()) {
+			Collections.rotate(addresses, Math.floorMod(this.startOffset, addresses.size()));
 		}
-		return order;
+		return addresses;
 	}
 
 	void dial(String address) {
