--- a/fleet/src/test/java/org/almondmount/fleet/sim/FleetSimulation.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/FleetSimulation.java
@@ -224,7 +224,7 @@
 				this.observedPhases.put(job, known.phase());
 			}
 			else if (answer instanceof JobAnswer.NoSuchJob && accepted) {
-				this.checker.violations().add(this.clock.now() + " lost: " + job + " was accepted and is not known");
+				this.checker.violations().add(this.clock.now() + " lost: " + job + " was accepted and is unknown");
 			}
 		});
 	}
@@ -430,14 +430,14 @@
 			answer.thenAccept((result) -> {
 				if (accepted && !(result instanceof JobAnswer.Known)) {
 					FleetSimulation.this.checker.violations()
-						.add(FleetSimulation.this.clock.now() + " cancel: " + job + " was accepted, the answer is "
+						.add(FleetSimulation.this.clock.now() + " cancel: " + job + " was accepted, but the answer is "
 								+ result);
 				}
 			});
 			FleetSimulation.this.clock.scheduleAfter(CANCEL_TIMEOUT_MILLIS, () -> {
 				if (!answer.isDone() && this.entry == queriedEntry && !isDead()) {
 					FleetSimulation.this.checker.violations()
-						.add(FleetSimulation.this.clock.now() + " cancel: " + job + " is not answered");
+						.add(FleetSimulation.this.clock.now() + " cancel: " + job + " was not answered");
 				}
 			});
 		}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/InvariantChecker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/InvariantChecker.java
@@ -204,8 +204,8 @@
 		long now = this.clock.now();
 		long elapsedMillis = now - Math.max(this.cancelledAt.getOrDefault(task.job(), now), this.recoveredFrom);
 		if (elapsedMillis > MAX_RUN_AFTER_CANCEL_MILLIS && !runs.isEmpty() && this.reportedAsUnstopped.add(task)) {
-			this.violations.add(timestampPrefix() + "unasked: " + task + " runs on " + elapsedMillis
-					+ " ms after its cancel and any trouble");
+			this.violations.add(timestampPrefix() + "unrequested: " + task + " runs on " + elapsedMillis
+					+ " ms after its cancellation and the last fault");
 		}
 	}
 
@@ -246,17 +246,17 @@
 				"epoch", start.epoch());
 		Workflow job = this.submittedJobs.get(task.job());
 		if (job == null || !job.program().equals(start.program())) {
-			this.violations.add(timestampPrefix() + "unasked: " + task + " was started and nobody asked for it");
+			this.violations.add(timestampPrefix() + "unrequested: " + task + " was started without a request");
 			return;
 		}
 		Step step = job.steps().get(task.step());
 		Map<Integer, SimWorker> runs = this.activeRuns.computeIfAbsent(task, (id) -> new HashMap<>());
 		if (!runs.isEmpty()) {
-			this.violations.add(timestampPrefix() + "twice: " + task + " run " + start.run() + " started on "
+			this.violations.add(timestampPrefix() + "duplicate: " + task + " run " + start.run() + " started on "
 					+ worker.name() + " while it runs on " + runs.values().iterator().next().name());
 		}
 		if (this.acknowledgedCompletions.contains(task)) {
-			this.violations.add(timestampPrefix() + "twice: " + task + " started after its end was acknowledged");
+			this.violations.add(timestampPrefix() + "duplicate: " + task + " started after its end was acknowledged");
 		}
 		for (int dependency : step.dependencies()) {
 			requireDependencyDone(job, task, dependency);
@@ -270,7 +270,7 @@
 		this.allocated.put(worker, allocatedNow);
 		if (!allocatedNow.fitsIn(worker.capacityLimit(calledAt))) {
 			this.violations
-				.add(timestampPrefix() + "limit: " + task + " brings " + worker.name() + " over its capacity");
+				.add(timestampPrefix() + "capacity: " + task + " brings " + worker.name() + " over its capacity");
 		}
 		if (step.gangScheduled()) {
 			Map<TaskId, SimWorker> members = this.gangMembers.computeIfAbsent(gangRunKey(task, start.run()),
@@ -345,15 +345,15 @@
 		TaskId task = start.task();
 		long now = this.clock.now();
 		if (now - this.cancelledAt.getOrDefault(task.job(), now) > MAX_START_AFTER_CANCEL_MILLIS) {
-			this.violations.add(timestampPrefix() + "unasked: " + task + " started after its job was cancelled");
+			this.violations.add(timestampPrefix() + "unrequested: " + task + " started after its job was cancelled");
 		}
 		if (now - this.zonesOutAt.getOrDefault(worker.zone(), now) > MAX_START_AFTER_ZONE_OUT_MILLIS) {
-			this.violations
-				.add(timestampPrefix() + "zone: " + task + " started in " + worker.zone() + ", which was taken out");
+			this.violations.add(timestampPrefix() + "zone: " + task + " started in " + worker.zone()
+					+ ", which was taken out of service");
 		}
 		if (this.acknowledgedFailures.getOrDefault(attemptKey(task), Set.of()).size() >= MAX_ATTEMPTS) {
 			this.violations
-				.add(timestampPrefix() + "budget: " + task + " started after as many failures as its queue allows");
+				.add(timestampPrefix() + "budget: " + task + " was started after as many failures as its queue allows");
 		}
 	}
 
@@ -366,8 +366,8 @@
 			return;
 		}
 		if (this.startsAfterCrashThreshold.merge(task, 1, Integer::sum) == VIOLATING_START_COUNT) {
-			this.violations
-				.add(timestampPrefix() + "budget: " + task + " started three times more after three workers crashed");
+			this.violations.add(timestampPrefix() + "budget: " + task
+					+ " was started three more times after three workers crashed under it");
 		}
 	}
 
@@ -378,7 +378,8 @@
 			boolean done = dependencyStep.gangScheduled() ? isAnyMemberDone(job, needed)
 					: this.completedTasks.contains(needed);
 			if (!done) {
-				this.violations.add(timestampPrefix() + "order: " + task + " started before " + needed + " was done");
+				this.violations
+					.add(timestampPrefix() + "dependency: " + task + " started before " + needed + " was completed");
 				return;
 			}
 		}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimStore.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimStore.java
@@ -168,12 +168,12 @@
 			writes.forEach((write) -> SimStore.this.commitCounts.merge(write.place().table(), 1L, Long::sum));
 			if (this.cutOff) {
 				SimStore.this.clock.scheduleAfter(timeout.toMillis(),
-						() -> answer.complete(new Commit.Unanswered("cut")));
+						() -> answer.complete(new Commit.Unanswered("disconnected from the store")));
 				return answer;
 			}
 			if (SimStore.this.unavailable) {
 				SimStore.this.clock.scheduleAfter(ANSWER_LATENCY_MILLIS,
-						() -> answer.complete(new Commit.Refused("away")));
+						() -> answer.complete(new Commit.Refused("store is unavailable")));
 				return answer;
 			}
 			boolean answerLost = SimStore.this.random.nextDouble() < SimStore.this.lostShare;
@@ -182,17 +182,18 @@
 						: SimStore.this.random.nextLong(MAX_COMMIT_DELAY_MILLIS);
 				SimStore.this.clock.scheduleAfter(delayMillis, () -> apply(conditions, writes));
 				SimStore.this.clock.scheduleAfter(timeout.toMillis(),
-						() -> answer.complete(new Commit.Unanswered("lost")));
+						() -> answer.complete(new Commit.Unanswered("answer is lost")));
 				return answer;
 			}
 			long oneWayMillis = SimStore.this.answerLatencyMillis / 2;
 			OptionalLong completion = completionTime(SimStore.this.clock.now() + oneWayMillis, writes);
 			if (completion.isEmpty()) {
 				SimStore.this.clock.scheduleAfter(oneWayMillis * 2,
-						() -> answer.complete(new Commit.Refused("queue full")));
+						() -> answer.complete(new Commit.Refused("transaction queue is full")));
 				return answer;
 			}
-			SimStore.this.clock.scheduleAfter(timeout.toMillis(), () -> answer.complete(new Commit.Unanswered("slow")));
+			SimStore.this.clock.scheduleAfter(timeout.toMillis(),
+					() -> answer.complete(new Commit.Unanswered("timed out")));
 			SimStore.this.clock.scheduleAfter(completion.getAsLong() - SimStore.this.clock.now(), () -> {
 				Commit outcome = apply(conditions, writes);
 				SimStore.this.clock.scheduleAfter(oneWayMillis, () -> answer.complete(outcome));
@@ -222,10 +223,11 @@
 			CompletableFuture<Read> answer = new CompletableFuture<>();
 			if (this.cutOff || SimStore.this.unavailable) {
 				SimStore.this.clock.scheduleAfter(timeout.toMillis(),
-						() -> answer.complete(new Read.Unavailable("cut")));
+						() -> answer.complete(new Read.Unavailable("disconnected from the store")));
 				return answer;
 			}
-			SimStore.this.clock.scheduleAfter(timeout.toMillis(), () -> answer.complete(new Read.Unavailable("slow")));
+			SimStore.this.clock.scheduleAfter(timeout.toMillis(),
+					() -> answer.complete(new Read.Unavailable("timed out")));
 			SimStore.this.clock.scheduleAfter(SimStore.this.answerLatencyMillis, () -> {
 				List<Row> found = new ArrayList<>();
 				for (Row row : SimStore.this.rows.tailMap(table + "\t" + from).values()) {
@@ -249,12 +251,13 @@
 				CompletableFuture<Changes> answer) {
 			if (generation != this.feedGeneration) {
 				long timeout = deadline + FEED_TIMEOUT_MILLIS - SimStore.this.clock.now();
-				SimStore.this.clock.scheduleAfter(timeout, () -> answer.complete(new Changes.Unavailable("silent")));
+				SimStore.this.clock.scheduleAfter(timeout,
+						() -> answer.complete(new Changes.Unavailable("feed is silent")));
 				return;
 			}
 			if (this.cutOff || SimStore.this.unavailable) {
 				SimStore.this.clock.scheduleAfter(FEED_TIMEOUT_MILLIS,
-						() -> answer.complete(new Changes.Unavailable("cut")));
+						() -> answer.complete(new Changes.Unavailable("disconnected from the store")));
 				return;
 			}
 			List<Row> changed = new ArrayList<>();
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWire.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWire.java
@@ -140,7 +140,7 @@
 			SimWire.this.clock.scheduleAfter(2 * LATENCY_MILLIS, () -> {
 				// A process that has ended in the meantime is not notified.
 				if (remote.dead || this.dead) {
-					ready.completeExceptionally(new WireException("sim", CloseReason.REFUSED, "ended"));
+					ready.completeExceptionally(new WireException("sim", CloseReason.REFUSED, "process has ended"));
 					return;
 				}
 				ConnectionSide localSide = new ConnectionSide(this, remote.self, dialler);
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -186,11 +186,12 @@
 		CompletableFuture<WorkerEvent> answer = new CompletableFuture<>();
 		boolean addressesOther = !poll.life().worker().isEmpty() && !poll.life().worker().equals(this.name);
 		if (isUnavailable()) {
-			this.clock.scheduleAfter(1, () -> answer.complete(new WorkerEvent.LookFailed(poll.look(), "refused")));
+			this.clock.scheduleAfter(1,
+					() -> answer.complete(new WorkerEvent.LookFailed(poll.look(), "connection refused")));
 			return answer;
 		}
 		if (addressesOther) {
-			answer.complete(new WorkerEvent.LookFailed(poll.look(), "another life"));
+			answer.complete(new WorkerEvent.LookFailed(poll.look(), "different incarnation"));
 			return answer;
 		}
 		this.clock.scheduleAfter(1, () -> answerPoll(poll, this.clock.now() + poll.waitMillis(), answer, true));
@@ -204,7 +205,7 @@
 		long calledAt = this.clock.now();
 		performCall(() -> {
 			String refusal = (addressedIncarnation == this.startedAtMillis) ? startRun(start, calledAt)
-					: "another life";
+					: "different incarnation";
 			CallEnding outcome = refusal.isEmpty() ? CallEnding.DONE : CallEnding.REFUSED;
 			answer.complete(new WorkerEvent.StartEnded(start.task(), start.run(), outcome, refusal));
 		}, () -> answer
@@ -239,7 +240,7 @@
 
 	private String startRun(WorkerCommand.Start start, long calledAt) {
 		if (start.epoch() < this.fencingEpoch) {
-			return "fence";
+			return "epoch below the fencing epoch";
 		}
 		this.fencingEpoch = Math.max(this.fencingEpoch, start.epoch());
 		this.leaseUntil = Math.max(this.leaseUntil, start.leaseUntilMillis());
@@ -248,10 +249,10 @@
 			return "";
 		}
 		if (start.run() <= this.highestEndedRuns.getOrDefault(start.task(), 0)) {
-			return "old";
+			return "run has ended already";
 		}
 		if (start.leaseUntilMillis() <= this.clock.now()) {
-			return "late";
+			return "lease has expired";
 		}
 		this.running.put(key, new ActiveRun(start.task(), start.run(), this.clock.now()));
 		this.checker.onStarted(this, start, calledAt);
@@ -293,7 +294,7 @@
 			}
 		}
 		if (isUnavailable()) {
-			answer.complete(new WorkerEvent.LookFailed(poll.look(), "gone"));
+			answer.complete(new WorkerEvent.LookFailed(poll.look(), "worker is unavailable"));
 			return;
 		}
 		if (this.clock.now() < deadline && this.ended.isEmpty()) {
--- a/fleet/src/test/java/org/almondmount/fleet/sim/TermMonitor.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/TermMonitor.java
@@ -88,7 +88,8 @@
 			if (this.grantedEpochs.getOrDefault(target.name(), 0L) < this.epoch) {
 				this.simulation.checker()
 					.violations()
-					.add(now + " unheard: the holder of epoch " + this.epoch + " has not heard of " + target.name());
+					.add(now + " contact: the holder of epoch " + this.epoch + " has had no contact with "
+							+ target.name());
 			}
 		}
 	}
