--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -186,11 +186,12 @@
 		CompletableFuture<WorkerEvent> answer = new CompletableFuture<>();
 		boolean addressesOther = !poll.incarnation().worker().isEmpty() && !poll.incarnation().worker().equals(this.name);
 		if (isUnavailable()) {
-			this.clock.scheduleAfter(1, () -> answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "refused")));
+			this.clock.scheduleAfter(1,
+					() -> answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "connection refused")));
 			return answer;
 		}
 		if (addressesOther) {
-			answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "another life"));
+			answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "different incarnation"));
 			return answer;
 		}
 		this.clock.scheduleAfter(1, () -> answerPoll(poll, this.clock.now() + poll.maxWaitMillis(), answer, true));
@@ -204,7 +205,7 @@
 		long calledAt = this.clock.now();
 		performCall(() -> {
 			String refusal = (addressedIncarnation == this.startedAtMillis) ? startRun(start, calledAt)
-					: "another life";
+					: "different incarnation";
 			CallOutcome outcome = refusal.isEmpty() ? CallOutcome.DONE : CallOutcome.REFUSED;
 			answer.complete(new WorkerEvent.StartCallEnded(start.task(), start.run(), outcome, refusal));
 		}, () -> answer
@@ -239,7 +240,7 @@
 
 	private String startRun(WorkerCommand.Start start, long calledAt) {
 		if (start.epoch() < this.fencingEpoch) {
-			return "fence";
+			return "epoch below the fencing epoch";
 		}
 		this.fencingEpoch = Math.max(this.fencingEpoch, start.epoch());
 		this.leaseUntil = Math.max(this.leaseUntil, start.leaseUntilMillis());
@@ -248,10 +249,10 @@
 			return "";
 		}
 		if (start.run() <= this.highestEndedRuns.getOrDefault(start.task(), 0)) {
-			return "old";
+			return "run has ended already";
 		}
 		if (start.leaseUntilMillis() <= this.clock.now()) {
-			return "late";
+			return "lease has expired";
 		}
 		this.running.put(key, new ActiveRun(start.task(), start.run(), this.clock.now()));
 		this.checker.onStarted(this, start, calledAt);
@@ -293,7 +294,7 @@
 			}
 		}
 		if (isUnavailable()) {
-			answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "gone"));
+			answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "worker is unavailable"));
 			return;
 		}
 		if (this.clock.now() < deadline && this.ended.isEmpty()) {
