--- a/fleet/src/test/java/org/almondmount/fleet/sim/DrainingHolderTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/DrainingHolderTests.java
@@ -67,9 +67,9 @@
 	// commit was in flight.
 	@Test
 	void anEntryThatDrainsWhileItTakesTheTermLeavesItToAnother() {
-		long before = this.simulation.epoch();
+		long epochBefore = this.simulation.epoch();
 		this.simulation.holder().drain(DRAIN_MILLIS);
-		while (this.simulation.epoch() == before) {
+		while (this.simulation.epoch() == epochBefore) {
 			this.simulation.runFor(1);
 		}
 		this.simulation.holder().drain(10_000);
--- a/fleet/src/test/java/org/almondmount/fleet/sim/InvariantChecker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/InvariantChecker.java
@@ -326,9 +326,9 @@
 		Step step = step(task);
 		String gangKey = gangRunKey(task, run);
 		boolean fullyRunning = !step.gangScheduled() || this.fullyRunningSince.containsKey(gangKey);
-		long since = step.gangScheduled() ? this.fullyRunningSince.getOrDefault(gangKey, Long.MAX_VALUE)
+		long runningSince = step.gangScheduled() ? this.fullyRunningSince.getOrDefault(gangKey, Long.MAX_VALUE)
 				: this.startedAt.get(task + "/" + run);
-		boolean elapsed = fullyRunning && this.clock.now() - since >= this.runTimes.get(task.job());
+		boolean elapsed = fullyRunning && this.clock.now() - runningSince >= this.runTimes.get(task.job());
 		boolean failing = this.failingJobs.contains(task.job());
 		return new RunProgress(step.gangScheduled(), fullyRunning, this.brokenGangs.contains(gangKey),
 				elapsed && !failing, elapsed && failing);
@@ -336,9 +336,10 @@
 
 	int progressPercent(TaskId task, int run) {
 		Step step = step(task);
-		long since = step.gangScheduled() ? this.fullyRunningSince.getOrDefault(gangRunKey(task, run), this.clock.now())
+		long runningSince = step.gangScheduled()
+				? this.fullyRunningSince.getOrDefault(gangRunKey(task, run), this.clock.now())
 				: this.startedAt.getOrDefault(task + "/" + run, this.clock.now());
-		return (int) Math.min(99, (this.clock.now() - since) * 100 / this.runTimes.get(task.job()));
+		return (int) Math.min(99, (this.clock.now() - runningSince) * 100 / this.runTimes.get(task.job()));
 	}
 
 	private void requireRequested(SimWorker worker, WorkerCommand.Start start) {
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimStore.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimStore.java
@@ -120,9 +120,9 @@
 		boolean holds = true;
 		for (RowStore.Condition condition : conditions) {
 			RowStore.Row row = this.rows.get(key(condition.place()));
-			boolean there = row != null && row.value().isPresent();
-			holds &= (there ? row.version() : 0) == condition.version();
-			if (there) {
+			boolean present = row != null && row.value().isPresent();
+			holds &= (present ? row.version() : 0) == condition.version();
+			if (present) {
 				current.add(row);
 			}
 		}
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SlowStoreTests.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SlowStoreTests.java
@@ -44,11 +44,11 @@
 		simulation.runFor(3_000);
 		simulation.store().slowDown(SLOWDOWN_FACTOR);
 		simulation.runFor(200);
-		long before = simulation.store().commitCount(Tables.INTAKE);
+		long commitsBefore = simulation.store().commitCount(Tables.INTAKE);
 		simulation.submit(simulation.smallJob("00000000000000aa"), 500, false);
 		simulation.runFor(1_000);
 		assertThat(simulation.acceptedJobs()).containsExactly("00000000000000aa");
-		assertThat(simulation.store().commitCount(Tables.INTAKE) - before).isEqualTo(1);
+		assertThat(simulation.store().commitCount(Tables.INTAKE) - commitsBefore).isEqualTo(1);
 	}
 
 	// Guards against a holder that sends copies of its commits to a slow store, which
