--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameDecoder.java
@@ -29,7 +29,8 @@
 	protected long getUnadjustedFrameLength(ByteBuf buf, int offset, int length, ByteOrder order) {
 		long size = super.getUnadjustedFrameLength(buf, offset, length, order);
 		if (!this.trusted && size > Handshake.MAX_FRAME_BYTES) {
-			throw new TooLongFrameException("a frame of " + size + " bytes before the handshake");
+			throw new TooLongFrameException(
+					"a frame of " + size + " bytes exceeds the limit before the handshake is complete");
 		}
 		return size;
 	}
--- a/runtime/src/main/java/org/almondmount/wire/impl/FrameReader.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/FrameReader.java
@@ -104,7 +104,7 @@
 			return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
 		}
 		catch (CharacterCodingException ex) {
-			throw malformed("a text is no UTF-8");
+			throw malformed("a string is not valid UTF-8");
 		}
 	}
 
@@ -185,18 +185,18 @@
 	 */
 	void expectEnd() {
 		if (remainingBytes() > 0) {
-			throw malformed("bytes follow the message");
+			throw malformed("unexpected bytes after the message");
 		}
 	}
 
 	WireException malformed(String problem) {
 		return new WireException(this.peer, CloseReason.BAD_BYTES,
-				problem + "; see that the peer is almondmount and of a version that this one can talk to");
+				problem + "; check that the peer is an almondmount process of a compatible version");
 	}
 
 	private void pushContainer(int size) {
 		if (size < 0 || size > remainingBytes()) {
-			throw malformed("a list is said to be longer than the frame");
+			throw malformed("the length of an array or map exceeds the frame");
 		}
 		this.elementCount += size;
 		if (this.elementCount > MAX_ELEMENTS) {
@@ -204,7 +204,7 @@
 		}
 		if (this.depth == MAX_DEPTH) {
 			throw new WireException(this.peer, CloseReason.TOO_DEEP,
-					"lists nest deeper than " + MAX_DEPTH + "; see that the peer is almondmount");
+					"values are nested deeper than " + MAX_DEPTH + "; check that the peer is an almondmount process");
 		}
 		this.depth++;
 		this.remaining[this.depth] = size;
@@ -212,7 +212,7 @@
 
 	private byte[] readPayload(int size) throws IOException {
 		if (size < 0 || size > remainingBytes()) {
-			throw malformed("a value is said to be longer than the frame");
+			throw malformed("the length of a value exceeds the frame");
 		}
 		return this.unpacker.readPayload(size);
 	}
@@ -226,7 +226,7 @@
 			return this.unpacker.getNextFormat().getValueType();
 		}
 		catch (IOException | MessagePackException ex) {
-			throw malformed("the frame ends too early");
+			throw malformed("the frame is truncated");
 		}
 	}
 
@@ -246,7 +246,7 @@
 			return value;
 		}
 		catch (IOException | MessagePackException | ArithmeticException ex) {
-			throw malformed("a value is not of its kind");
+			throw malformed("a value is truncated, out of range or of an unexpected type");
 		}
 	}
 
@@ -269,7 +269,7 @@
 		private static final long serialVersionUID = 1L;
 
 		UnknownConstantException(String type) {
-			super("unknown constant of " + type);
+			super("unknown enum constant of " + type);
 		}
 
 	}
--- a/runtime/src/main/java/org/almondmount/wire/impl/Handshake.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/Handshake.java
@@ -97,14 +97,14 @@
 			checkMagic(in);
 			checkVersion(in);
 			if (in.readBytes().length != NONCE_BYTES) {
-				throw in.malformed("the nonce has another length");
+				throw in.malformed("the nonce has the wrong length");
 			}
 			this.peer = ValueCodec.readPeerInfo(in);
 			in.endArray();
 			in.expectEnd();
 		}
 		catch (FrameReader.UnknownConstantException | InvalidValueException ex) {
-			throw in.malformed("the peer's description breaks a rule (" + ex.getMessage() + ")");
+			throw in.malformed("the peer's description is invalid (" + ex.getMessage() + ")");
 		}
 		this.peerHello = frame;
 	}
@@ -126,13 +126,13 @@
 			throw rejection(in);
 		}
 		if (!PROOF.equals(frameType)) {
-			throw in.malformed("a proof was expected");
+			throw in.malformed("expected a proof frame");
 		}
 		byte[] proof = in.readBytes();
 		in.endArray();
 		if (!MessageDigest.isEqual(proof, computeMac(!this.dialer))) {
 			throw new WireException(this.peerAddress, CloseReason.WRONG_KEY,
-					"the peer does not know the shared key; give both sides the same");
+					"the peer does not have the shared key; configure the same key on both sides");
 		}
 		return this.peer;
 	}
@@ -143,7 +143,7 @@
 			throw rejection(in);
 		}
 		if (!MAGIC.equals(magic)) {
-			throw in.malformed("a hello was expected");
+			throw in.malformed("expected a hello frame");
 		}
 	}
 
@@ -152,8 +152,8 @@
 		int highest = in.readInt();
 		if (lowest > MAX_VERSION || highest < MIN_VERSION) {
 			throw new WireException(this.peerAddress, CloseReason.WRONG_VERSION,
-					"the peer speaks versions " + lowest + " to " + highest + ", this side " + MIN_VERSION + " to "
-							+ MAX_VERSION + "; upgrade the older one");
+					"the peer supports protocol versions " + lowest + " to " + highest + ", this side " + MIN_VERSION
+							+ " to " + MAX_VERSION + "; upgrade the older one");
 		}
 	}
 
@@ -177,7 +177,7 @@
 			return mac.doFinal();
 		}
 		catch (GeneralSecurityException ex) {
-			throw new IllegalStateException("this Java has no " + MAC_ALGORITHM, ex);
+			throw new IllegalStateException("the Java runtime does not provide " + MAC_ALGORITHM, ex);
 		}
 	}
 
--- a/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/MessageCodec.java
@@ -53,7 +53,7 @@
 	}
 
 	private static String describeInvalidField(AlmondmountException ex) {
-		return "a field breaks its rule (" + ex.location() + ")";
+		return "a field has an invalid value (" + ex.location() + ")";
 	}
 
 }
--- a/runtime/src/main/java/org/almondmount/wire/impl/NettyPeerConnection.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/NettyPeerConnection.java
@@ -120,7 +120,7 @@
 			return;
 		}
 		this.ready.completeExceptionally(new WireException(this.peerAddress, this.closeReason,
-				"the handshake ended: " + this.closeReason.externalName()));
+				"the handshake failed: " + this.closeReason.externalName()));
 	}
 
 	@Override
--- a/runtime/src/main/java/org/almondmount/wire/impl/NettyWireEndpoint.java
+++ b/runtime/src/main/java/org/almondmount/wire/impl/NettyWireEndpoint.java
@@ -97,7 +97,7 @@
 		connecting.addListener((done) -> {
 			if (!done.isSuccess()) {
 				ready.completeExceptionally(new WireException(peerAddress, closeReasonOf(done.cause()),
-						"no connection (" + done.cause().getMessage() + "); see that the peer is running"));
+						"cannot connect (" + done.cause().getMessage() + "); check that the peer is running"));
 			}
 		});
 		return ready;
