--- a/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/EventLoop.java
@@ -55,7 +55,7 @@
 	default <T> void onCompletion(CompletableFuture<T> future, Consumer<T> consumer) {
 		future.whenComplete((value, failure) -> {
 			if (failure != null) {
-				EventLog.of(EventLoop.class).fault("future-failed", failure);
+				EventLog.named("Loop").fault("future-failed", failure);
 				return;
 			}
 			execute(() -> consumer.accept(value));
--- a/fleet/src/main/java/org/almondmount/fleet/SingleThreadEventLoop.java
+++ b/fleet/src/main/java/org/almondmount/fleet/SingleThreadEventLoop.java
@@ -14,7 +14,7 @@
  */
 public final class SingleThreadEventLoop implements EventLoop {
 
-	private static final EventLog LOG = EventLog.of(SingleThreadEventLoop.class);
+	private static final EventLog LOG = EventLog.named("ThreadLoop");
 
 	private static final int RING_CAPACITY = 1 << 14;
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/ConfigurationWatcher.java
@@ -28,7 +28,7 @@
  */
 final class ConfigurationWatcher {
 
-	private static final EventLog LOG = EventLog.of(ConfigurationWatcher.class);
+	private static final EventLog LOG = EventLog.named("DeclaredState");
 
 	/**
 	 * How long one request for changes stays open; each request is charged. A connection
--- a/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/JobRequestHandler.java
@@ -30,7 +30,7 @@
  */
 final class JobRequestHandler {
 
-	private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
+	private static final EventLog LOG = EventLog.named("FrontDesk");
 
 	/** Delay before a store call is repeated, in milliseconds. */
 	private static final long STORE_RETRY_DELAY_MILLIS = 60;
--- a/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/SchedulerDriver.java
@@ -43,7 +43,7 @@
  */
 final class SchedulerDriver {
 
-	private static final EventLog LOG = EventLog.of(SchedulerDriver.class);
+	private static final EventLog LOG = EventLog.named("HolderDesk");
 
 	/** Core-seconds of finished work, by outcome. */
 	private static final String WORK_METRIC = "work";
--- a/fleet/src/main/java/org/almondmount/fleet/entry/StoreGossip.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/StoreGossip.java
@@ -23,7 +23,7 @@
  */
 final class StoreGossip {
 
-	private static final EventLog LOG = EventLog.of(StoreGossip.class);
+	private static final EventLog LOG = EventLog.named("StoreNews");
 
 	private static final String ANSWERS_METHOD = "store-answers";
 
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetCommandSender.java
@@ -12,7 +12,7 @@
  */
 final class TargetCommandSender {
 
-	private static final EventLog LOG = EventLog.of(TargetCommandSender.class);
+	private static final EventLog LOG = EventLog.named("TargetOrders");
 
 	/** Commands that were not sent to their target, by reason. */
 	private static final String UNDELIVERED_METRIC = "orders.undelivered";
--- a/fleet/src/test/java/org/almondmount/fleet/sim/FleetSimulation.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/FleetSimulation.java
@@ -39,7 +39,7 @@
  */
 final class FleetSimulation {
 
-	private static final EventLog LOG = EventLog.of(FleetSimulation.class);
+	private static final EventLog LOG = EventLog.named("FleetWorld");
 
 	static final ResourceAmount WORKER_CAPACITY = new ResourceAmount(32_000, 128_000, 8);
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/InvariantChecker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/InvariantChecker.java
@@ -23,7 +23,7 @@
  */
 final class InvariantChecker {
 
-	private static final EventLog LOG = EventLog.of(InvariantChecker.class);
+	private static final EventLog LOG = EventLog.named("Checker");
 
 	/**
 	 * A start later than this after its job was cancelled, or after its zone was taken
--- a/fleet/src/test/java/org/almondmount/fleet/sim/TermMonitor.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/TermMonitor.java
@@ -17,7 +17,7 @@
  */
 final class TermMonitor {
 
-	private static final EventLog LOG = EventLog.of(TermMonitor.class);
+	private static final EventLog LOG = EventLog.named("TermWatch");
 
 	private static final long MAX_CONTACT_MILLIS = 500;
 
--- a/runtime/src/main/java/org/almondmount/telemetry/EventLog.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/EventLog.java
@@ -27,6 +27,16 @@
 		return new EventLog(LogManager.getLogger(part));
 	}
 
+	/**
+	 * The log of one part, by the part's name in log lines. The name is independent of
+	 * the class name, so that a renamed class keeps it.
+	 * @param part the part's name, a constant without dots
+	 * @return its log
+	 */
+	public static EventLog named(String part) {
+		return new EventLog(LogManager.getLogger(part));
+	}
+
 	/**
 	 * Something that happened as it should.
 	 * @param event the event's name, a constant
--- a/runtime/src/test/java/org/almondmount/telemetry/ConsoleLogTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/ConsoleLogTests.java
@@ -36,6 +36,24 @@
 			.matches("time=\\d{13} level=warn part=TermDriver event=term-ended epoch=3\n");
 	}
 
+	// EventLog takes its loggers from the context of the process, not from a test's own.
+	@Test
+	void aNamedLogWritesItsNameAsThePart() {
+		ByteArrayOutputStream seen = new ByteArrayOutputStream();
+		System.setOut(new PrintStream(seen, true));
+		LoggerContext ofProcess = LoggerContext.getContext(false);
+		ofProcess.start(ConsoleLog.configuration());
+		try {
+			EventLog.named("FrontDesk").warn("job-not-accepted", "job", "j-1");
+			await().until(() -> seen.size() > 0);
+			assertThat(seen.toString(StandardCharsets.UTF_8))
+				.matches("time=\\d{13} level=warn part=FrontDesk event=job-not-accepted job=j-1\n");
+		}
+		finally {
+			ofProcess.reconfigure();
+		}
+	}
+
 	@Test
 	void whatIsNotAnEventOfOursIsLeftOut() {
 		this.context.start(ConsoleLog.configuration());
