--- a/daemon/src/main/java/org/almondmount/daemon/cli/ServerCommand.java
+++ b/daemon/src/main/java/org/almondmount/daemon/cli/ServerCommand.java
@@ -159,8 +159,8 @@
 	}
 
 	static Duration duration(String option, String text) {
-		return Quantity.duration(text)
-			.orElseThrow(() -> new WrongUsageException(option + " is " + text + "; give " + Quantity.DURATIONS));
+		return Quantity.parseDuration(text)
+			.orElseThrow(() -> new WrongUsageException(option + " is " + text + "; give " + Quantity.DURATION_FORMAT));
 	}
 
 	private static void failed(Console console, Throwable cause) {
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/ConfigurationDriver.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/ConfigurationDriver.java
@@ -91,7 +91,7 @@
 
 	private void found(ReadResult<Optional<Row>> read) {
 		if (!(read instanceof ReadResult.Found<Optional<Row>> rows)) {
-			storeSeen(false, ((ReadResult.Unavailable<Optional<Row>>) read).why());
+			storeSeen(false, ((ReadResult.Unavailable<Optional<Row>>) read).reason());
 			feed(new ConfigurationEvent.ReadFailed());
 			return;
 		}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/control/Submissions.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/control/Submissions.java
@@ -65,7 +65,7 @@
 						"another entry took the scheduler's lease over"));
 			return;
 		}
-		String why = ((CommitResult.NotCommitted) result).why();
+		String why = ((CommitResult.NotCommitted) result).reason();
 		submission.responder()
 			.answer(this.answerer.comeBack(RefusalReason.STORE_AWAY, "the table did not take the job: " + why));
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/json/DurationText.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/json/DurationText.java
@@ -21,8 +21,8 @@
 	 * @throws DocumentException if it is none
 	 */
 	public static Duration read(String field, String text) {
-		return Quantity.duration(text.trim())
-			.orElseThrow(() -> new DocumentException(field, "is no duration; give " + Quantity.DURATIONS));
+		return Quantity.parseDuration(text.trim())
+			.orElseThrow(() -> new DocumentException(field, "is no duration; give " + Quantity.DURATION_FORMAT));
 	}
 
 	/**
--- a/daemon/src/main/java/org/almondmount/daemon/entry/json/MemoryText.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/json/MemoryText.java
@@ -27,9 +27,9 @@
 			return 0;
 		}
 		Optional<Long> mebibytes = value.isIntegralNumber() ? Optional.of(value.asLong())
-				: Quantity.bytes(value.asText().trim()).map(MemoryText::roundedUp);
+				: Quantity.parseBytes(value.asText().trim()).map(MemoryText::roundedUp);
 		if (mebibytes.isEmpty() || mebibytes.get() < 0 || mebibytes.get() > Integer.MAX_VALUE) {
-			throw new DocumentException(field, "is no amount of memory; give " + Quantity.SIZES);
+			throw new DocumentException(field, "is no amount of memory; give " + Quantity.SIZE_FORMAT);
 		}
 		return mebibytes.get().intValue();
 	}
--- a/daemon/src/main/java/org/almondmount/daemon/entry/store/StoreWriter.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/store/StoreWriter.java
@@ -173,7 +173,7 @@
 		long now = this.clock.millis();
 		if (result instanceof CommitResult.Unknown unknown) {
 			this.telemetry.count("store.unknown");
-			batch.giveUp(now, unknown.why());
+			batch.giveUp(now, unknown.reason());
 			this.unsettled.add(new Unsettled(batch, token, now + SETTLE_EVERY_MILLIS));
 			this.alarm.at(now + SETTLE_EVERY_MILLIS);
 			return;
@@ -197,7 +197,7 @@
 				continue;
 			}
 			this.unsettled.remove(each);
-			this.table.settle(each.token())
+			this.table.resolve(each.token())
 				.thenAccept((result) -> this.mailbox.deliver(() -> answered(each.batch(), each.token(), result)));
 		}
 	}
--- a/daemon/src/test/java/org/almondmount/daemon/entry/FakeTable.java
+++ b/daemon/src/test/java/org/almondmount/daemon/entry/FakeTable.java
@@ -115,7 +115,7 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<CommitResult> settle(String token) {
+	public synchronized CompletableFuture<CommitResult> resolve(String token) {
 		if (this.away || !this.settling) {
 			return CompletableFuture.completedFuture(new CommitResult.Unknown("the table does not answer"));
 		}
--- a/runtime/src/main/java/org/almondmount/services/TableRetry.java
+++ b/runtime/src/main/java/org/almondmount/services/TableRetryReason.java
@@ -3,7 +3,7 @@
 /**
  * Every reason for which an operation is sent to the table once more; each has a counter.
  */
-public enum TableRetry {
+public enum TableRetryReason {
 
 	/** No connection: nothing was sent. */
 	NOT_SENT,
--- a/runtime/src/main/java/org/almondmount/services/TableService.java
+++ b/runtime/src/main/java/org/almondmount/services/TableService.java
@@ -38,7 +38,7 @@
 	 * @return committed if the token is there; not-committed only if it can never be;
 	 * else unknown
 	 */
-	CompletableFuture<CommitResult> settle(String token);
+	CompletableFuture<CommitResult> resolve(String token);
 
 	/**
 	 * A row.
@@ -96,7 +96,7 @@
 		}
 
 		/** The table did not answer. */
-		record Unavailable<T>(String why) implements ReadResult<T> {
+		record Unavailable<T>(String reason) implements ReadResult<T> {
 		}
 
 	}
@@ -118,11 +118,11 @@
 		 * Nothing took effect and nothing will: it was refused before it was sent or by
 		 * rate.
 		 */
-		record NotCommitted(String why) implements CommitResult {
+		record NotCommitted(String reason) implements CommitResult {
 		}
 
 		/** It may or may not have taken effect; settle it later. */
-		record Unknown(String why) implements CommitResult {
+		record Unknown(String reason) implements CommitResult {
 		}
 
 	}
--- a/runtime/src/main/java/org/almondmount/services/impl/Backoff.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Backoff.java
@@ -16,11 +16,11 @@
 
 	private final IoThreads io;
 
-	private final Duration first;
+	private final Duration initialDelay;
 
-	Backoff(IoThreads io, Duration first) {
+	Backoff(IoThreads io, Duration initialDelay) {
 		this.io = io;
-		this.first = first;
+		this.initialDelay = initialDelay;
 	}
 
 	/**
@@ -28,8 +28,8 @@
 	 * @param attempt the attempt that failed, from 1
 	 * @param action what to do, on an I/O thread
 	 */
-	void after(int attempt, Runnable action) {
-		long mean = this.first.toMillis() << (attempt - 1);
+	void scheduleAfterAttempt(int attempt, Runnable action) {
+		long mean = this.initialDelay.toMillis() << (attempt - 1);
 		long pause = mean / 2 + ThreadLocalRandom.current().nextLong(mean + 1);
 		this.io.next().schedule(action, pause, TimeUnit.MILLISECONDS);
 	}
--- a/runtime/src/main/java/org/almondmount/services/impl/HttpObjectStore.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpObjectStore.java
@@ -30,7 +30,7 @@
 	@Override
 	public CompletableFuture<Boolean> exists(String name) {
 		return this.client
-			.send(this.store, Json.call("GET", "/v1/objects/" + Json.escape(name) + "?head=true"), TIMEOUT)
+			.send(this.store, Json.call("GET", "/v1/objects/" + Json.urlEncode(name) + "?head=true"), TIMEOUT)
 			.thenApply((answer) -> {
 				if (answer.status() == NOT_FOUND) {
 					return false;
@@ -42,7 +42,7 @@
 
 	@Override
 	public CompletableFuture<Void> delete(String name) {
-		return this.client.send(this.store, Json.call("DELETE", "/v1/objects/" + Json.escape(name)), TIMEOUT)
+		return this.client.send(this.store, Json.call("DELETE", "/v1/objects/" + Json.urlEncode(name)), TIMEOUT)
 			.thenAccept((answer) -> {
 				if (answer.status() != NOT_FOUND) {
 					requireSuccess(answer);
--- a/runtime/src/main/java/org/almondmount/services/impl/HttpTableService.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpTableService.java
@@ -16,7 +16,7 @@
 import org.almondmount.services.TableOptions;
 import org.almondmount.services.TableOutcome;
 import org.almondmount.services.TableService;
-import org.almondmount.services.util.RateBound;
+import org.almondmount.services.util.RateLimiter;
 import org.almondmount.telemetry.Telemetry;
 
 /**
@@ -26,7 +26,7 @@
 
 	private static final int NOT_FOUND = 404;
 
-	private static final String OVER_RATE = "this process's own bound on operations a second is reached";
+	private static final String RATE_LIMIT_EXCEEDED = "this process's own bound on operations a second is reached";
 
 	private final TableExchange exchange;
 
@@ -36,13 +36,13 @@
 
 	private final TableMetrics metrics;
 
-	private final TokenRows tokens;
+	private final TransactionTokenStore tokenStore;
 
-	private final TokenLedger ledger = new TokenLedger(System::nanoTime);
+	private final TokenCleanupQueue tokenCleanupQueue = new TokenCleanupQueue(System::nanoTime);
 
-	private final RateBound writes;
+	private final RateLimiter writeLimiter;
 
-	private final RateBound reads;
+	private final RateLimiter readLimiter;
 
 	/**
 	 * Makes a client of the table.
@@ -57,131 +57,131 @@
 		this.options = options;
 		this.metrics = new TableMetrics(telemetry);
 		this.exchange = new TableExchange(client, table, options, this.metrics);
-		this.backoff = new Backoff(io, options.backoff());
-		this.tokens = new TokenRows(this.exchange, options, this.backoff, this.metrics);
-		this.writes = new RateBound(options.writesPerSecond(), System::nanoTime);
-		this.reads = new RateBound(options.readsPerSecond(), System::nanoTime);
+		this.backoff = new Backoff(io, options.initialBackoff());
+		this.tokenStore = new TransactionTokenStore(this.exchange, options, this.backoff, this.metrics);
+		this.writeLimiter = new RateLimiter(options.writesPerSecond(), System::nanoTime);
+		this.readLimiter = new RateLimiter(options.readsPerSecond(), System::nanoTime);
 	}
 
 	@Override
 	public CompletableFuture<ReadResult<Optional<Row>>> read(String key) {
 		return read(readCall(key),
-				(reply) -> (reply.status() == NOT_FOUND) ? Optional.<Row>empty() : Optional.of(row(reply.body())));
+				(reply) -> (reply.status() == NOT_FOUND) ? Optional.<Row>empty() : Optional.of(parseRow(reply.body())));
 	}
 
 	@Override
 	public CompletableFuture<ReadResult<List<Row>>> scan(String prefix) {
-		return read(Json.call("GET", "/v1/rows?prefix=" + Json.escape(prefix)), (reply) -> rows(reply.body()));
+		return read(Json.call("GET", "/v1/rows?prefix=" + Json.urlEncode(prefix)), (reply) -> parseRows(reply.body()));
 	}
 
 	@Override
 	public CompletableFuture<CommitResult> commit(Transaction transaction) {
-		if (!this.writes.tryTake()) {
-			this.metrics.ended(TableOutcome.OVER_RATE);
-			return CompletableFuture.completedFuture(new CommitResult.NotCommitted(OVER_RATE));
+		if (!this.writeLimiter.tryAcquire()) {
+			this.metrics.recordOutcome(TableOutcome.OVER_RATE);
+			return CompletableFuture.completedFuture(new CommitResult.NotCommitted(RATE_LIMIT_EXCEEDED));
 		}
-		String tokenKey = TokenRows.key(transaction.token());
-		List<String> old = this.ledger.takeOld();
-		HttpCall call = transaction(document(transaction, tokenKey, old));
-		return new TableCommit(this.exchange, this.options, this.backoff, this.metrics, this.tokens, call, tokenKey)
+		String tokenKey = TransactionTokenStore.keyOf(transaction.token());
+		List<String> expiredTokenKeys = this.tokenCleanupQueue.pollExpired();
+		HttpCall call = transactionCall(document(transaction, tokenKey, expiredTokenKeys));
+		return new TableCommit(this.exchange, this.options, this.backoff, this.metrics, this.tokenStore, call, tokenKey)
 			.run()
 			.thenApply((result) -> {
-				ended(result, tokenKey, old);
+				recordOutcome(result, tokenKey, expiredTokenKeys);
 				return result;
 			});
 	}
 
 	@Override
-	public CompletableFuture<CommitResult> settle(String token) {
-		if (!this.writes.tryTake()) {
-			this.metrics.ended(TableOutcome.OVER_RATE);
-			return CompletableFuture.completedFuture(new CommitResult.Unknown(OVER_RATE));
+	public CompletableFuture<CommitResult> resolve(String token) {
+		if (!this.writeLimiter.tryAcquire()) {
+			this.metrics.recordOutcome(TableOutcome.OVER_RATE);
+			return CompletableFuture.completedFuture(new CommitResult.Unknown(RATE_LIMIT_EXCEEDED));
 		}
-		String tokenKey = TokenRows.key(token);
-		return this.tokens.cancel(tokenKey).thenApply((result) -> {
-			ended(result, tokenKey, List.of());
+		String tokenKey = TransactionTokenStore.keyOf(token);
+		return this.tokenStore.cancel(tokenKey).thenApply((result) -> {
+			recordOutcome(result, tokenKey, List.of());
 			return result;
 		});
 	}
 
-	static HttpCall transaction(ObjectNode document) {
+	static HttpCall transactionCall(ObjectNode document) {
 		return Json.call("POST", "/v1/transactions", document);
 	}
 
 	static HttpCall readCall(String key) {
-		return Json.call("GET", "/v1/row?key=" + Json.escape(key));
+		return Json.call("GET", "/v1/row?key=" + Json.urlEncode(key));
 	}
 
-	private void ended(CommitResult result, String tokenKey, List<String> old) {
-		this.metrics.ended(result);
+	private void recordOutcome(CommitResult result, String tokenKey, List<String> expiredTokenKeys) {
+		this.metrics.recordOutcome(result);
 		if (!(result instanceof CommitResult.Unknown) && !(result instanceof CommitResult.Conflict)) {
-			this.ledger.settled(tokenKey);
+			this.tokenCleanupQueue.add(tokenKey);
 		}
 		if (!(result instanceof CommitResult.Committed)) {
-			old.forEach(this.ledger::settled);
+			expiredTokenKeys.forEach(this.tokenCleanupQueue::add);
 		}
 	}
 
 	private <T> CompletableFuture<ReadResult<T>> read(HttpCall call,
-			Function<TableExchange.Reply.Useful, T> conversion) {
-		if (!this.reads.tryTake()) {
-			this.metrics.ended(TableOutcome.OVER_RATE);
-			return CompletableFuture.completedFuture(new ReadResult.Unavailable<>(OVER_RATE));
+			Function<TableExchange.Reply.Conclusive, T> converter) {
+		if (!this.readLimiter.tryAcquire()) {
+			this.metrics.recordOutcome(TableOutcome.OVER_RATE);
+			return CompletableFuture.completedFuture(new ReadResult.Unavailable<>(RATE_LIMIT_EXCEEDED));
 		}
 		CompletableFuture<ReadResult<T>> result = new CompletableFuture<>();
-		read(call, conversion, 1, result);
+		read(call, converter, 1, result);
 		return result;
 	}
 
-	private <T> void read(HttpCall call, Function<TableExchange.Reply.Useful, T> conversion, int attempt,
+	private <T> void read(HttpCall call, Function<TableExchange.Reply.Conclusive, T> converter, int attempt,
 			CompletableFuture<ReadResult<T>> result) {
 		this.exchange.send(call).thenAccept((reply) -> {
-			if (reply instanceof TableExchange.Reply.Useful useful) {
-				this.metrics.ended(TableOutcome.READ);
-				result.complete(new ReadResult.Found<>(conversion.apply(useful)));
+			if (reply instanceof TableExchange.Reply.Conclusive conclusive) {
+				this.metrics.recordOutcome(TableOutcome.READ);
+				result.complete(new ReadResult.Found<>(converter.apply(conclusive)));
 				return;
 			}
-			TableExchange.Reply.Nothing nothing = (TableExchange.Reply.Nothing) reply;
-			if (attempt >= this.options.attempts()) {
-				this.metrics.ended(TableOutcome.UNREAD);
-				result.complete(new ReadResult.Unavailable<>(nothing.why()));
+			TableExchange.Reply.Inconclusive inconclusive = (TableExchange.Reply.Inconclusive) reply;
+			if (attempt >= this.options.maxAttempts()) {
+				this.metrics.recordOutcome(TableOutcome.UNREAD);
+				result.complete(new ReadResult.Unavailable<>(inconclusive.detail()));
 				return;
 			}
-			this.metrics.retried(nothing.reason());
-			this.backoff.after(attempt, () -> read(call, conversion, attempt + 1, result));
+			this.metrics.recordRetry(inconclusive.retryReason());
+			this.backoff.scheduleAfterAttempt(attempt, () -> read(call, converter, attempt + 1, result));
 		});
 	}
 
 	// The token's condition stands first: the table names the first condition that does
 	// not hold, and a repeat has to learn of its own token before it learns that the rows
 	// which it wrote itself have moved on.
-	private static ObjectNode document(Transaction transaction, String tokenKey, List<String> old) {
-		ObjectNode document = Json.object();
+	private static ObjectNode document(Transaction transaction, String tokenKey, List<String> expiredTokenKeys) {
+		ObjectNode document = Json.createObject();
 		ArrayNode conditions = document.putArray("conditions");
 		conditions.addObject().put("key", tokenKey).put("version", 0);
 		for (Condition condition : transaction.conditions()) {
 			conditions.addObject().put("key", condition.key()).put("version", condition.version());
 		}
 		ArrayNode writes = document.putArray("writes");
-		writes.addObject().put("key", tokenKey).put("value", TokenRows.COMMITTED);
+		writes.addObject().put("key", tokenKey).put("value", TransactionTokenStore.COMMITTED);
 		for (Write write : transaction.writes()) {
 			writes.addObject().put("key", write.key()).put("value", write.value().orElse(null));
 		}
-		for (String key : old) {
+		for (String key : expiredTokenKeys) {
 			writes.addObject().put("key", key).putNull("value");
 		}
 		return document;
 	}
 
-	private static List<Row> rows(JsonNode body) {
+	private static List<Row> parseRows(JsonNode body) {
 		List<Row> rows = new ArrayList<>();
 		for (JsonNode row : body.path("rows")) {
-			rows.add(row(row));
+			rows.add(parseRow(row));
 		}
 		return rows;
 	}
 
-	private static Row row(JsonNode row) {
+	private static Row parseRow(JsonNode row) {
 		return new Row(row.path("key").asText(), row.path("version").asLong(), row.path("value").asText());
 	}
 
--- a/runtime/src/main/java/org/almondmount/services/impl/HttpWorkerClient.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpWorkerClient.java
@@ -26,7 +26,7 @@
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-	private static final int FIRST_SERVER_ERROR = 500;
+	private static final int MIN_SERVER_ERROR = 500;
 
 	private final HttpClient client;
 
@@ -41,34 +41,34 @@
 	public CompletableFuture<Void> start(Attempt attempt, int member, JobSpec spec, boolean fromCheckpoint,
 			Duration lease) {
 		Resources need = spec.shape().perMember();
-		ObjectNode body = Json.object();
+		ObjectNode body = Json.createObject();
 		body.put("job", attempt.job().value()).put("attempt", attempt.number()).put("member", member);
 		body.put("members", spec.shape().members()).put("customer", spec.customer().value());
 		body.put("accelerators", need.accelerators()).put("cores", need.cores()).put("memoryMb", need.memoryMb());
 		body.put("checkpointEveryMillis", spec.checkpointEvery().toMillis()).put("program", spec.program());
 		body.put("fromCheckpoint", fromCheckpoint).put("leaseMillis", lease.toMillis());
-		return order(Json.call("POST", "/v1/tasks", body));
+		return sendCommand(Json.call("POST", "/v1/tasks", body));
 	}
 
 	@Override
 	public CompletableFuture<Void> renew(Attempt attempt, int member, Duration lease) {
-		return order(
-				Json.call("POST", path(attempt, member, "renew"), Json.object().put("leaseMillis", lease.toMillis())));
+		return sendCommand(Json.call("POST", path(attempt, member, "renew"),
+				Json.createObject().put("leaseMillis", lease.toMillis())));
 	}
 
 	@Override
 	public CompletableFuture<Void> suspend(Attempt attempt, int member) {
-		return order(Json.call("POST", path(attempt, member, "suspend")));
+		return sendCommand(Json.call("POST", path(attempt, member, "suspend")));
 	}
 
 	@Override
 	public CompletableFuture<Void> stop(Attempt attempt, int member) {
-		return order(Json.call("POST", path(attempt, member, "stop")));
+		return sendCommand(Json.call("POST", path(attempt, member, "stop")));
 	}
 
 	@Override
 	public CompletableFuture<Void> throttle(Attempt attempt, int member) {
-		return order(Json.call("POST", path(attempt, member, "throttle")));
+		return sendCommand(Json.call("POST", path(attempt, member, "throttle")));
 	}
 
 	@Override
@@ -76,30 +76,30 @@
 		return this.client.send(this.worker, Json.call("GET", "/v1/tasks"), TIMEOUT).thenApply((answer) -> {
 			requireSuccess(answer);
 			List<TaskReport> reports = new ArrayList<>();
-			for (JsonNode task : Json.body(answer).path("tasks")) {
-				reports.add(report(task));
+			for (JsonNode task : Json.parseBody(answer).path("tasks")) {
+				reports.add(parseReport(task));
 			}
 			return reports;
 		});
 	}
 
-	private CompletableFuture<Void> order(HttpCall call) {
+	private CompletableFuture<Void> sendCommand(HttpCall call) {
 		return this.client.send(this.worker, call, TIMEOUT).thenAccept(this::requireSuccess);
 	}
 
 	private void requireSuccess(HttpAnswer answer) {
 		if (answer.status() >= 300) {
-			String detail = Json.body(answer).path("detail").asText();
+			String detail = Json.parseBody(answer).path("detail").asText();
 			throw new HttpFailure(this.worker.toString(), "the worker answered " + answer.status() + " " + detail,
-					answer.status() >= FIRST_SERVER_ERROR);
+					answer.status() >= MIN_SERVER_ERROR);
 		}
 	}
 
-	private static String path(Attempt attempt, int member, String order) {
-		return "/v1/tasks/" + attempt.job() + "/" + attempt.number() + "/" + member + "/" + order;
+	private static String path(Attempt attempt, int member, String command) {
+		return "/v1/tasks/" + attempt.job() + "/" + attempt.number() + "/" + member + "/" + command;
 	}
 
-	private static TaskReport report(JsonNode task) {
+	private static TaskReport parseReport(JsonNode task) {
 		Attempt attempt = new Attempt(new JobId(task.path("job").asText()), task.path("attempt").asInt());
 		JsonNode used = task.path("used");
 		Resources resources = new Resources(used.path("accelerators").asInt(), used.path("cores").asInt(),
--- a/runtime/src/main/java/org/almondmount/services/impl/Json.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Json.java
@@ -22,17 +22,17 @@
 
 	private static final Map<String, String> HEADERS = Map.of("content-type", "application/json");
 
-	private static final byte[] NOTHING = new byte[0];
+	private static final byte[] EMPTY_BODY = new byte[0];
 
 	private Json() {
 	}
 
-	static ObjectNode object() {
+	static ObjectNode createObject() {
 		return MAPPER.createObjectNode();
 	}
 
 	static HttpCall call(String method, String path) {
-		return new HttpCall(method, path, Map.of(), NOTHING);
+		return new HttpCall(method, path, Map.of(), EMPTY_BODY);
 	}
 
 	static HttpCall call(String method, String path, JsonNode body) {
@@ -49,7 +49,7 @@
 	 * @param answer the answer
 	 * @return its tree, or a missing node where the body is no JSON
 	 */
-	static JsonNode body(HttpAnswer answer) {
+	static JsonNode parseBody(HttpAnswer answer) {
 		try {
 			JsonNode node = MAPPER.readTree(answer.body());
 			return (node != null) ? node : MissingNode.getInstance();
@@ -59,7 +59,7 @@
 		}
 	}
 
-	static String escape(String text) {
+	static String urlEncode(String text) {
 		return URLEncoder.encode(text, StandardCharsets.UTF_8);
 	}
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TableCommit.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableCommit.java
@@ -28,7 +28,7 @@
 
 	private final String tokenKey;
 
-	private final TokenRows tokens;
+	private final TransactionTokenStore tokenStore;
 
 	private final CompletableFuture<CommitResult> result = new CompletableFuture<>();
 
@@ -36,13 +36,13 @@
 
 	private boolean mayHaveTakenEffect;
 
-	TableCommit(TableExchange exchange, TableOptions options, Backoff backoff, TableMetrics metrics, TokenRows tokens,
-			HttpCall call, String tokenKey) {
+	TableCommit(TableExchange exchange, TableOptions options, Backoff backoff, TableMetrics metrics,
+			TransactionTokenStore tokenStore, HttpCall call, String tokenKey) {
 		this.exchange = exchange;
 		this.options = options;
 		this.backoff = backoff;
 		this.metrics = metrics;
-		this.tokens = tokens;
+		this.tokenStore = tokenStore;
 		this.call = call;
 		this.tokenKey = tokenKey;
 	}
@@ -54,39 +54,39 @@
 
 	private void send() {
 		this.attempt++;
-		this.exchange.send(this.call).thenAccept(this::replied);
+		this.exchange.send(this.call).thenAccept(this::onReply);
 	}
 
-	private void replied(TableExchange.Reply reply) {
-		if (reply instanceof TableExchange.Reply.Useful useful) {
-			answered(useful);
+	private void onReply(TableExchange.Reply reply) {
+		if (reply instanceof TableExchange.Reply.Conclusive conclusive) {
+			onConclusiveReply(conclusive);
 			return;
 		}
-		TableExchange.Reply.Nothing nothing = (TableExchange.Reply.Nothing) reply;
-		this.mayHaveTakenEffect |= nothing.mayHaveTakenEffect();
-		if (this.attempt < this.options.attempts()) {
-			this.metrics.retried(nothing.reason());
-			this.backoff.after(this.attempt, this::send);
+		TableExchange.Reply.Inconclusive inconclusive = (TableExchange.Reply.Inconclusive) reply;
+		this.mayHaveTakenEffect |= inconclusive.mayHaveTakenEffect();
+		if (this.attempt < this.options.maxAttempts()) {
+			this.metrics.recordRetry(inconclusive.retryReason());
+			this.backoff.scheduleAfterAttempt(this.attempt, this::send);
 			return;
 		}
-		this.result.complete(this.mayHaveTakenEffect ? new CommitResult.Unknown(nothing.why())
-				: new CommitResult.NotCommitted(nothing.why()));
+		this.result.complete(this.mayHaveTakenEffect ? new CommitResult.Unknown(inconclusive.detail())
+				: new CommitResult.NotCommitted(inconclusive.detail()));
 	}
 
-	private void answered(TableExchange.Reply.Useful useful) {
-		if (!useful.isConflict()) {
+	private void onConclusiveReply(TableExchange.Reply.Conclusive reply) {
+		if (!reply.isConflict()) {
 			this.result.complete(new CommitResult.Committed());
 			return;
 		}
-		String key = useful.body().path("key").asText();
-		CommitResult conflict = new CommitResult.Conflict(key, useful.body().path("version").asLong());
+		String key = reply.body().path("key").asText();
+		CommitResult conflict = new CommitResult.Conflict(key, reply.body().path("version").asLong());
 		if (key.equals(this.tokenKey)) {
-			this.tokens.read(this.tokenKey).thenAccept(this.result::complete);
+			this.tokenStore.read(this.tokenKey).thenAccept(this.result::complete);
 		}
 		else if (this.mayHaveTakenEffect) {
-			this.tokens.cancel(this.tokenKey)
-				.thenAccept((settled) -> this.result
-					.complete((settled instanceof CommitResult.NotCommitted) ? conflict : settled));
+			this.tokenStore.cancel(this.tokenKey)
+				.thenAccept((resolved) -> this.result
+					.complete((resolved instanceof CommitResult.NotCommitted) ? conflict : resolved));
 		}
 		else {
 			this.result.complete(conflict);
--- a/runtime/src/main/java/org/almondmount/services/impl/TableExchange.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableExchange.java
@@ -9,7 +9,7 @@
 import org.almondmount.http.HttpClient;
 import org.almondmount.http.HttpFailure;
 import org.almondmount.services.TableOptions;
-import org.almondmount.services.TableRetry;
+import org.almondmount.services.TableRetryReason;
 
 /**
  * Single exchanges with the table, told apart by what they mean for the operation.
@@ -19,9 +19,9 @@
 
 	private static final int CONFLICT = 409;
 
-	private static final int TOO_MANY = 429;
+	private static final int TOO_MANY_REQUESTS = 429;
 
-	private static final int AWAY = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
 	private final HttpClient client;
 
@@ -44,27 +44,28 @@
 	 * @return what came of it; never completed exceptionally
 	 */
 	CompletableFuture<Reply> send(HttpCall call) {
-		this.metrics.sent();
-		return this.client.send(this.table, call, this.options.timeout()).handle(TableExchange::reply);
+		this.metrics.recordSent();
+		return this.client.send(this.table, call, this.options.timeout()).handle(TableExchange::classify);
 	}
 
-	private static Reply reply(HttpAnswer answer, Throwable failure) {
+	private static Reply classify(HttpAnswer answer, Throwable failure) {
 		if (failure != null) {
 			boolean arrived = !(failure instanceof HttpFailure known) || known.mayHaveArrived();
-			return new Reply.Nothing(arrived ? TableRetry.ANSWER_LOST : TableRetry.NOT_SENT, failure.getMessage());
+			return new Reply.Inconclusive(arrived ? TableRetryReason.ANSWER_LOST : TableRetryReason.NOT_SENT,
+					failure.getMessage());
 		}
-		JsonNode body = Json.body(answer);
-		if (answer.status() == TOO_MANY) {
-			return new Reply.Nothing(TableRetry.RATE, "the table refused it for its rate");
+		JsonNode body = Json.parseBody(answer);
+		if (answer.status() == TOO_MANY_REQUESTS) {
+			return new Reply.Inconclusive(TableRetryReason.RATE, "the table refused it for its rate");
 		}
-		if (answer.status() == AWAY && "not-committed".equals(body.path("outcome").asText())) {
-			return new Reply.Nothing(TableRetry.AWAY, "the table is away");
+		if (answer.status() == SERVICE_UNAVAILABLE && "not-committed".equals(body.path("outcome").asText())) {
+			return new Reply.Inconclusive(TableRetryReason.AWAY, "the table is away");
 		}
 		boolean useful = answer.status() < 300 || answer.status() == 404 || answer.status() == CONFLICT;
 		if (!useful || !body.isObject()) {
-			return new Reply.Nothing(TableRetry.ANSWER_LOST, "the table answered " + answer.status());
+			return new Reply.Inconclusive(TableRetryReason.ANSWER_LOST, "the table answered " + answer.status());
 		}
-		return new Reply.Useful(answer.status(), body);
+		return new Reply.Conclusive(answer.status(), body);
 	}
 
 	/**
@@ -73,7 +74,7 @@
 	sealed interface Reply {
 
 		/** An answer that decides the operation. */
-		record Useful(int status, JsonNode body) implements Reply {
+		record Conclusive(int status, JsonNode body) implements Reply {
 
 			boolean isConflict() {
 				return this.status == CONFLICT;
@@ -82,10 +83,10 @@
 		}
 
 		/** No answer that decides it; try again if attempts are left. */
-		record Nothing(TableRetry reason, String why) implements Reply {
+		record Inconclusive(TableRetryReason retryReason, String detail) implements Reply {
 
 			boolean mayHaveTakenEffect() {
-				return this.reason == TableRetry.ANSWER_LOST;
+				return this.retryReason == TableRetryReason.ANSWER_LOST;
 			}
 
 		}
--- a/runtime/src/main/java/org/almondmount/services/impl/TableMetrics.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableMetrics.java
@@ -1,7 +1,7 @@
 package org.almondmount.services.impl;
 
 import org.almondmount.services.TableOutcome;
-import org.almondmount.services.TableRetry;
+import org.almondmount.services.TableRetryReason;
 import org.almondmount.services.TableService.CommitResult;
 import org.almondmount.telemetry.Telemetry;
 
@@ -21,33 +21,33 @@
 	TableMetrics(Telemetry telemetry) {
 		this.telemetry = telemetry;
 		telemetry.declare(OUTCOME, TableOutcome.class);
-		telemetry.declare(RETRIED, TableRetry.class);
+		telemetry.declare(RETRIED, TableRetryReason.class);
 	}
 
-	void sent() {
+	void recordSent() {
 		this.telemetry.count(SENT);
 	}
 
-	void retried(TableRetry reason) {
+	void recordRetry(TableRetryReason reason) {
 		this.telemetry.count(RETRIED, reason);
 	}
 
-	void ended(TableOutcome outcome) {
+	void recordOutcome(TableOutcome outcome) {
 		this.telemetry.count(OUTCOME, outcome);
 	}
 
-	void ended(CommitResult result) {
+	void recordOutcome(CommitResult result) {
 		if (result instanceof CommitResult.Committed) {
-			ended(TableOutcome.COMMITTED);
+			recordOutcome(TableOutcome.COMMITTED);
 		}
 		else if (result instanceof CommitResult.Conflict) {
-			ended(TableOutcome.CONFLICT);
+			recordOutcome(TableOutcome.CONFLICT);
 		}
 		else if (result instanceof CommitResult.NotCommitted) {
-			ended(TableOutcome.NOT_COMMITTED);
+			recordOutcome(TableOutcome.NOT_COMMITTED);
 		}
 		else {
-			ended(TableOutcome.UNKNOWN);
+			recordOutcome(TableOutcome.UNKNOWN);
 		}
 	}
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TokenLedger.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TokenCleanupQueue.java
@@ -14,38 +14,38 @@
  * way, else a late copy would take effect a second time. Copies live no longer than a few
  * attempts of some hundred milliseconds; ten minutes is far beyond that.
  */
-final class TokenLedger {
+final class TokenCleanupQueue {
 
-	private static final long KEPT_NANOS = 600_000_000_000L;
+	private static final long RETENTION_NANOS = 600_000_000_000L;
 
-	private static final int MOST_AT_ONCE = 4;
+	private static final int MAX_BATCH_SIZE = 4;
 
-	private static final int MOST = 100_000;
+	private static final int MAX_SIZE = 100_000;
 
 	private final LongSupplier nanoClock;
 
-	private final Deque<Settled> settled = new ArrayDeque<>();
+	private final Deque<ResolvedToken> add = new ArrayDeque<>();
 
-	TokenLedger(LongSupplier nanoClock) {
+	TokenCleanupQueue(LongSupplier nanoClock) {
 		this.nanoClock = nanoClock;
 	}
 
-	synchronized void settled(String key) {
-		if (this.settled.size() < MOST) {
-			this.settled.add(new Settled(key, this.nanoClock.getAsLong()));
+	synchronized void add(String key) {
+		if (this.add.size() < MAX_SIZE) {
+			this.add.add(new ResolvedToken(key, this.nanoClock.getAsLong()));
 		}
 	}
 
 	/**
 	 * Takes some keys whose rows are of no use any more.
-	 * @return a few keys; give them to {@link #settled} again if they were not deleted
+	 * @return a few keys; give them to {@link #add} again if they were not deleted
 	 */
-	synchronized List<String> takeOld() {
+	synchronized List<String> pollExpired() {
 		long now = this.nanoClock.getAsLong();
 		List<String> keys = new ArrayList<>();
-		while (keys.size() < MOST_AT_ONCE && !this.settled.isEmpty()
-				&& now - this.settled.peek().atNanos() > KEPT_NANOS) {
-			keys.add(this.settled.poll().key());
+		while (keys.size() < MAX_BATCH_SIZE && !this.add.isEmpty()
+				&& now - this.add.peek().resolvedAtNanos() > RETENTION_NANOS) {
+			keys.add(this.add.poll().key());
 		}
 		return keys;
 	}
@@ -53,7 +53,7 @@
 	/**
 	 * A token's row and when its transaction's ending was known.
 	 */
-	private record Settled(String key, long atNanos) {
+	private record ResolvedToken(String key, long resolvedAtNanos) {
 
 	}
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TokenRows.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TransactionTokenStore.java
@@ -9,7 +9,7 @@
 /**
  * The rows that tell how transactions ended. Thread-safe.
  */
-final class TokenRows {
+final class TransactionTokenStore {
 
 	/** The value of a row whose transaction took effect. */
 	static final String COMMITTED = "committed";
@@ -27,14 +27,14 @@
 
 	private final TableMetrics metrics;
 
-	TokenRows(TableExchange exchange, TableOptions options, Backoff backoff, TableMetrics metrics) {
+	TransactionTokenStore(TableExchange exchange, TableOptions options, Backoff backoff, TableMetrics metrics) {
 		this.exchange = exchange;
 		this.options = options;
 		this.backoff = backoff;
 		this.metrics = metrics;
 	}
 
-	static String key(String token) {
+	static String keyOf(String token) {
 		return PREFIX + token;
 	}
 
@@ -61,57 +61,59 @@
 	}
 
 	private void cancel(String key, int attempt, CompletableFuture<CommitResult> result) {
-		this.exchange.send(HttpTableService.transaction(cancelling(key))).thenAccept((reply) -> {
-			if (reply instanceof TableExchange.Reply.Useful useful) {
-				if (useful.isConflict()) {
+		this.exchange.send(HttpTableService.transactionCall(cancellationDocument(key))).thenAccept((reply) -> {
+			if (reply instanceof TableExchange.Reply.Conclusive conclusive) {
+				if (conclusive.isConflict()) {
 					read(key, 1, result);
 				}
 				else {
-					result.complete(cancelled());
+					result.complete(cancelledResult());
 				}
 				return;
 			}
-			again((TableExchange.Reply.Nothing) reply, attempt, result, () -> cancel(key, attempt + 1, result));
+			retryOrGiveUp((TableExchange.Reply.Inconclusive) reply, attempt, result,
+					() -> cancel(key, attempt + 1, result));
 		});
 	}
 
 	private void read(String key, int attempt, CompletableFuture<CommitResult> result) {
 		this.exchange.send(HttpTableService.readCall(key)).thenAccept((reply) -> {
-			if (reply instanceof TableExchange.Reply.Useful useful) {
-				result.complete(ending(useful));
+			if (reply instanceof TableExchange.Reply.Conclusive conclusive) {
+				result.complete(toResult(conclusive));
 				return;
 			}
-			again((TableExchange.Reply.Nothing) reply, attempt, result, () -> read(key, attempt + 1, result));
+			retryOrGiveUp((TableExchange.Reply.Inconclusive) reply, attempt, result,
+					() -> read(key, attempt + 1, result));
 		});
 	}
 
-	private void again(TableExchange.Reply.Nothing nothing, int attempt, CompletableFuture<CommitResult> result,
-			Runnable next) {
-		if (attempt >= this.options.attempts()) {
-			result.complete(new CommitResult.Unknown(nothing.why()));
+	private void retryOrGiveUp(TableExchange.Reply.Inconclusive reply, int attempt,
+			CompletableFuture<CommitResult> result, Runnable retry) {
+		if (attempt >= this.options.maxAttempts()) {
+			result.complete(new CommitResult.Unknown(reply.detail()));
 			return;
 		}
-		this.metrics.retried(nothing.reason());
-		this.backoff.after(attempt, next);
+		this.metrics.recordRetry(reply.retryReason());
+		this.backoff.scheduleAfterAttempt(attempt, retry);
 	}
 
-	private static CommitResult ending(TableExchange.Reply.Useful row) {
+	private static CommitResult toResult(TableExchange.Reply.Conclusive row) {
 		String value = row.body().path("value").asText();
 		if (COMMITTED.equals(value)) {
 			return new CommitResult.Committed();
 		}
 		if (CANCELLED.equals(value)) {
-			return cancelled();
+			return cancelledResult();
 		}
 		return new CommitResult.Unknown("the transaction's row is not there");
 	}
 
-	private static CommitResult cancelled() {
+	private static CommitResult cancelledResult() {
 		return new CommitResult.NotCommitted("the transaction was cancelled before it took effect");
 	}
 
-	private static ObjectNode cancelling(String key) {
-		ObjectNode body = Json.object();
+	private static ObjectNode cancellationDocument(String key) {
+		ObjectNode body = Json.createObject();
 		body.putArray("conditions").addObject().put("key", key).put("version", 0);
 		body.putArray("writes").addObject().put("key", key).put("value", CANCELLED);
 		return body;
--- a/runtime/src/main/java/org/almondmount/services/util/RateBound.java
+++ b/runtime/src/main/java/org/almondmount/services/util/RateLimiter.java
@@ -9,39 +9,39 @@
  * it would come back as refusals and timeouts for all processes; a bound at each process
  * keeps its own burst from becoming everybody's.
  */
-public final class RateBound {
+public final class RateLimiter {
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
-	private final double perSecond;
+	private final double permitsPerSecond;
 
 	private final LongSupplier nanoClock;
 
 	private double tokens;
 
-	private long lastNanos;
+	private long lastRefillNanos;
 
 	/**
 	 * Makes a full bucket.
-	 * @param perSecond the rate, also the burst
+	 * @param permitsPerSecond the rate, also the burst
 	 * @param nanoClock a monotonic clock in nanoseconds
 	 */
-	public RateBound(int perSecond, LongSupplier nanoClock) {
-		this.perSecond = perSecond;
+	public RateLimiter(int permitsPerSecond, LongSupplier nanoClock) {
+		this.permitsPerSecond = permitsPerSecond;
 		this.nanoClock = nanoClock;
-		this.tokens = perSecond;
-		this.lastNanos = nanoClock.getAsLong();
+		this.tokens = permitsPerSecond;
+		this.lastRefillNanos = nanoClock.getAsLong();
 	}
 
 	/**
 	 * Takes one token.
 	 * @return false when there is none
 	 */
-	public synchronized boolean tryTake() {
+	public synchronized boolean tryAcquire() {
 		long now = this.nanoClock.getAsLong();
-		double earned = (now - this.lastNanos) * this.perSecond / NANOS_PER_SECOND;
-		this.tokens = Math.min(this.perSecond, this.tokens + earned);
-		this.lastNanos = now;
+		double refill = (now - this.lastRefillNanos) * this.permitsPerSecond / NANOS_PER_SECOND;
+		this.tokens = Math.min(this.permitsPerSecond, this.tokens + refill);
+		this.lastRefillNanos = now;
 		if (this.tokens < 1) {
 			return false;
 		}
--- a/runtime/src/main/java/org/almondmount/settings/impl/Section.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/Section.java
@@ -24,9 +24,9 @@
  */
 final class Section {
 
-	private static final int LONGEST_SHOWN = 60;
+	private static final int MAX_SHOWN_LENGTH = 60;
 
-	private static final int LARGEST_PORT = 65_535;
+	private static final int MAX_PORT = 65_535;
 
 	private final String path;
 
@@ -34,7 +34,7 @@
 
 	private final List<SettingsFault> faults;
 
-	private final Set<String> known = new TreeSet<>();
+	private final Set<String> knownKeys = new TreeSet<>();
 
 	Section(String path, JsonNode node, List<SettingsFault> faults) {
 		this.path = path;
@@ -43,26 +43,26 @@
 	}
 
 	Section section(String key) {
-		JsonNode child = take(key);
+		JsonNode child = consume(key);
 		if (!child.isMissingNode() && !child.isObject()) {
-			fault(key, shown(child), "a mapping of settings", "write its settings indented below it");
+			addFault(key, format(child), "a mapping of settings", "write its settings indented below it");
 			child = MissingNode.getInstance();
 		}
-		return new Section(at(key), child, this.faults);
+		return new Section(pathOf(key), child, this.faults);
 	}
 
 	List<Section> list(String key) {
-		JsonNode child = take(key);
+		JsonNode child = consume(key);
 		List<Section> sections = new ArrayList<>();
 		if (!child.isMissingNode() && !child.isArray()) {
-			fault(key, shown(child), "a list", "write each element after a dash");
+			addFault(key, format(child), "a list", "write each element after a dash");
 			return sections;
 		}
 		for (int i = 0; i < child.size(); i++) {
-			String place = at(key) + "[" + i + "]";
+			String place = pathOf(key) + "[" + i + "]";
 			JsonNode element = child.get(i);
 			if (!element.isObject()) {
-				this.faults.add(new SettingsFault(place, shown(element), "a mapping of settings",
+				this.faults.add(new SettingsFault(place, format(element), "a mapping of settings",
 						"write its settings after the dash"));
 				element = MissingNode.getInstance();
 			}
@@ -75,67 +75,68 @@
 	 * A value with a rule of its own.
 	 * @param <T> its type
 	 * @param key its key; required
-	 * @param rule makes the value, or says by {@link InvalidValueException} what is wrong
+	 * @param parser makes the value, or says by {@link InvalidValueException} what is
+	 * wrong
 	 * @return the value, or null where there is a fault
 	 */
-	<T> T named(String key, Function<String, T> rule) {
+	<T> T parsed(String key, Function<String, T> parser) {
 		Optional<String> text = text(key);
 		if (text.isEmpty()) {
-			required(key, "a name of letters, digits, '.', '-' and '_'");
+			addMissingFault(key, "a name of letters, digits, '.', '-' and '_'");
 			return null;
 		}
 		try {
-			return rule.apply(text.get());
+			return parser.apply(text.get());
 		}
 		catch (InvalidValueException ex) {
-			fault(key, quoted(text.get()), "a name of letters, digits, '.', '-' and '_', at most 120 characters",
+			addFault(key, quote(text.get()), "a name of letters, digits, '.', '-' and '_', at most 120 characters",
 					"choose such a name");
 			return null;
 		}
 	}
 
-	String secret(String key, int shortest) {
+	String secret(String key, int minLength) {
 		Optional<String> text = text(key);
 		if (text.isEmpty()) {
-			required(key, "a secret of at least " + shortest + " characters");
+			addMissingFault(key, "a secret of at least " + minLength + " characters");
 			return "";
 		}
-		if (text.get().length() < shortest) {
-			fault(key, "a secret of " + text.get().length() + " characters",
-					"a secret of at least " + shortest + " characters", "make a longer one from a random source");
+		if (text.get().length() < minLength) {
+			addFault(key, "a secret of " + text.get().length() + " characters",
+					"a secret of at least " + minLength + " characters", "make a longer one from a random source");
 		}
 		return text.get();
 	}
 
-	Duration duration(String key, Duration otherwise, Duration least, Duration most) {
+	Duration duration(String key, Duration defaultValue, Duration min, Duration max) {
 		Optional<String> text = text(key);
 		if (text.isEmpty()) {
-			return otherwise;
+			return defaultValue;
 		}
-		Optional<Duration> value = Quantity.duration(text.get());
+		Optional<Duration> value = Quantity.parseDuration(text.get());
 		if (value.isEmpty()) {
-			fault(key, quoted(text.get()), Quantity.DURATIONS, "write the unit behind the number");
-			return otherwise;
+			addFault(key, quote(text.get()), Quantity.DURATION_FORMAT, "write the unit behind the number");
+			return defaultValue;
 		}
-		if (value.get().compareTo(least) < 0 || value.get().compareTo(most) > 0) {
-			fault(key, text.get(), shown(least) + " to " + shown(most), "choose a value in this range");
+		if (value.get().compareTo(min) < 0 || value.get().compareTo(max) > 0) {
+			addFault(key, text.get(), format(min) + " to " + format(max), "choose a value in this range");
 		}
 		return value.get();
 	}
 
-	int bytes(String key, int otherwise, int least, int most) {
+	int bytes(String key, int defaultValue, int min, int max) {
 		Optional<String> text = text(key);
 		if (text.isEmpty()) {
-			return otherwise;
+			return defaultValue;
 		}
-		Optional<Long> value = Quantity.bytes(text.get());
+		Optional<Long> value = Quantity.parseBytes(text.get());
 		if (value.isEmpty()) {
-			fault(key, quoted(text.get()), Quantity.SIZES, "write the unit behind the number");
-			return otherwise;
+			addFault(key, quote(text.get()), Quantity.SIZE_FORMAT, "write the unit behind the number");
+			return defaultValue;
 		}
-		if (value.get() < least || value.get() > most) {
-			fault(key, text.get(), least + "B to " + most + "B", "choose a value in this range");
-			return otherwise;
+		if (value.get() < min || value.get() > max) {
+			addFault(key, text.get(), min + "B to " + max + "B", "choose a value in this range");
+			return defaultValue;
 		}
 		return value.get().intValue();
 	}
@@ -143,65 +144,64 @@
 	int mebibytes(String key) {
 		Optional<String> text = text(key);
 		if (text.isEmpty()) {
-			required(key, Quantity.SIZES);
+			addMissingFault(key, Quantity.SIZE_FORMAT);
 			return 0;
 		}
-		Optional<Long> value = Quantity.bytes(text.get());
+		Optional<Long> value = Quantity.parseBytes(text.get());
 		if (value.isEmpty() || value.get() >> 20 > Integer.MAX_VALUE) {
-			fault(key, quoted(text.get()), Quantity.SIZES, "write the unit behind the number");
+			addFault(key, quote(text.get()), Quantity.SIZE_FORMAT, "write the unit behind the number");
 			return 0;
 		}
 		return (int) (value.get() >> 20);
 	}
 
-	int number(String key, int otherwise, int least, int most) {
-		JsonNode child = take(key);
+	int number(String key, int defaultValue, int min, int max) {
+		JsonNode child = consume(key);
 		if (child.isMissingNode()) {
-			return otherwise;
+			return defaultValue;
 		}
-		if (!child.isIntegralNumber() || !child.canConvertToInt() || child.intValue() < least
-				|| child.intValue() > most) {
-			fault(key, shown(child), "a whole number from " + least + " to " + most, "choose a value in this range");
-			return otherwise;
+		if (!child.isIntegralNumber() || !child.canConvertToInt() || child.intValue() < min || child.intValue() > max) {
+			addFault(key, format(child), "a whole number from " + min + " to " + max, "choose a value in this range");
+			return defaultValue;
 		}
 		return child.intValue();
 	}
 
-	boolean flag(String key, boolean otherwise) {
-		JsonNode child = take(key);
+	boolean flag(String key, boolean defaultValue) {
+		JsonNode child = consume(key);
 		if (child.isMissingNode()) {
-			return otherwise;
+			return defaultValue;
 		}
 		if (!child.isBoolean()) {
-			fault(key, shown(child), "true or false", "write one of them without quotes");
-			return otherwise;
+			addFault(key, format(child), "true or false", "write one of them without quotes");
+			return defaultValue;
 		}
 		return child.booleanValue();
 	}
 
-	int requiredNumber(String key, int least, int most) {
+	int requiredNumber(String key, int min, int max) {
 		if (!this.node.has(key)) {
-			required(key, "a whole number from " + least + " to " + most);
+			addMissingFault(key, "a whole number from " + min + " to " + max);
 		}
-		return number(key, least, least, most);
+		return number(key, min, min, max);
 	}
 
 	InetSocketAddress address(String key) {
 		Optional<String> text = text(key);
 		if (text.isEmpty()) {
-			required(key, "an address as IP:PORT, such as 10.0.0.7:7000");
+			addMissingFault(key, "an address as IP:PORT, such as 10.0.0.7:7000");
 			return null;
 		}
-		Optional<InetSocketAddress> address = parse(text.get());
+		Optional<InetSocketAddress> address = parseAddress(text.get());
 		if (address.isEmpty()) {
-			fault(key, quoted(text.get()), "an address as IP:PORT, such as 10.0.0.7:7000",
+			addFault(key, quote(text.get()), "an address as IP:PORT, such as 10.0.0.7:7000",
 					"write the IP number and the port with a colon between");
 		}
 		return address.orElse(null);
 	}
 
-	InetSocketAddress addressOr(String key, InetSocketAddress otherwise) {
-		return this.node.has(key) ? address(key) : otherwise;
+	InetSocketAddress addressOr(String key, InetSocketAddress defaultValue) {
+		return this.node.has(key) ? address(key) : defaultValue;
 	}
 
 	/**
@@ -211,8 +211,8 @@
 	 * @param allowed what may stand there
 	 * @param remedy what to do
 	 */
-	void fault(String key, String found, String allowed, String remedy) {
-		String place = at(key);
+	void addFault(String key, String found, String allowed, String remedy) {
+		String place = pathOf(key);
 		for (SettingsFault fault : this.faults) {
 			if (fault.path().equals(place)) {
 				return;
@@ -225,44 +225,44 @@
 	 * Has to be called last: whatever was not asked for is a fault, because a mistyped
 	 * key would otherwise leave its default in force unseen.
 	 */
-	void end() {
+	void rejectUnknownKeys() {
 		Iterator<String> keys = this.node.fieldNames();
 		while (keys.hasNext()) {
 			String key = keys.next();
-			if (!this.known.contains(key)) {
-				fault(key, "an unknown key", String.join(", ", this.known), "correct the key or take it out");
+			if (!this.knownKeys.contains(key)) {
+				addFault(key, "an unknown key", String.join(", ", this.knownKeys), "correct the key or take it out");
 			}
 		}
 	}
 
 	private Optional<String> text(String key) {
-		JsonNode child = take(key);
+		JsonNode child = consume(key);
 		if (child.isMissingNode()) {
 			return Optional.empty();
 		}
 		if (!child.isValueNode() || child.isNull()) {
-			fault(key, shown(child), "a single value", "write one value behind the colon");
+			addFault(key, format(child), "a single value", "write one value behind the colon");
 			return Optional.of("");
 		}
 		return Optional.of(child.asText());
 	}
 
-	private JsonNode take(String key) {
-		this.known.add(key);
+	private JsonNode consume(String key) {
+		this.knownKeys.add(key);
 		return this.node.path(key);
 	}
 
-	private void required(String key, String allowed) {
-		fault(key, "nothing", allowed, "add it");
+	private void addMissingFault(String key, String allowed) {
+		addFault(key, "nothing", allowed, "add it");
 	}
 
-	private String at(String key) {
+	private String pathOf(String key) {
 		return this.path.isEmpty() ? key : this.path + "." + key;
 	}
 
 	// A name would be looked up on the network while settings are checked; processes
 	// learn their addresses as numbers.
-	private static Optional<InetSocketAddress> parse(String text) {
+	private static Optional<InetSocketAddress> parseAddress(String text) {
 		int colon = text.lastIndexOf(':');
 		if (colon < 1) {
 			return Optional.empty();
@@ -278,7 +278,7 @@
 		}
 		try {
 			int port = Integer.parseInt(text.substring(colon + 1));
-			if (port < 0 || port > LARGEST_PORT) {
+			if (port < 0 || port > MAX_PORT) {
 				return Optional.empty();
 			}
 			return Optional.of(new InetSocketAddress(InetAddress.getByName(host), port));
@@ -288,21 +288,21 @@
 		}
 	}
 
-	private static String shown(JsonNode node) {
-		return node.isTextual() ? quoted(node.asText()) : cut(node.toString());
+	private static String format(JsonNode node) {
+		return node.isTextual() ? quote(node.asText()) : truncate(node.toString());
 	}
 
-	private static String shown(Duration duration) {
+	private static String format(Duration duration) {
 		long millis = duration.toMillis();
 		return (millis % 1_000 == 0) ? millis / 1_000 + "s" : millis + "ms";
 	}
 
-	private static String quoted(String text) {
-		return "\"" + cut(text) + "\"";
+	private static String quote(String text) {
+		return "\"" + truncate(text) + "\"";
 	}
 
-	private static String cut(String text) {
-		return (text.length() > LONGEST_SHOWN) ? text.substring(0, LONGEST_SHOWN) + "…" : text;
+	private static String truncate(String text) {
+		return (text.length() > MAX_SHOWN_LENGTH) ? text.substring(0, MAX_SHOWN_LENGTH) + "…" : text;
 	}
 
 }
--- a/runtime/src/main/java/org/almondmount/settings/impl/SettingsReader.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/SettingsReader.java
@@ -40,19 +40,19 @@
 		.enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
 		.enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-	private static final Duration SHORTEST = Duration.ofMillis(10);
+	private static final Duration MIN_DURATION = Duration.ofMillis(10);
 
-	private static final Duration LONGEST = Duration.ofHours(1);
+	private static final Duration MAX_DURATION = Duration.ofHours(1);
 
-	private static final int SHORTEST_SECRET = 16;
+	private static final int MIN_SECRET_LENGTH = 16;
 
-	private static final int MEBIBYTE = 1 << 20;
+	private static final int BYTES_PER_MEBIBYTE = 1 << 20;
 
-	private static final int LARGEST_BYTES = 1 << 30;
+	private static final int MAX_BYTES = 1 << 30;
 
-	private static final int AROUND_BODY = 64 << 10;
+	private static final int FRAME_OVERHEAD_BYTES = 64 << 10;
 
-	private static final int MOST_CONNECTIONS = 1_000_000;
+	private static final int MAX_CONNECTIONS = 1_000_000;
 
 	private SettingsReader() {
 	}
@@ -83,7 +83,7 @@
 	public static Either<List<SettingsFault>, Set<SchedulerFeature>> readPolicy(String text) {
 		return read(text, (root) -> {
 			Set<SchedulerFeature> features = features(root.section("policy"));
-			root.end();
+			root.rejectUnknownKeys();
 			return features;
 		});
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 
-	private static <T> Either<List<SettingsFault>, T> read(String text, Function<Section, T> conversion) {
+	private static <T> Either<List<SettingsFault>, T> read(String text, Function<Section, T> converter) {
 		List<SettingsFault> faults = new ArrayList<>();
 		JsonNode root;
 		try {
@@ -121,14 +121,14 @@
 					"start from an example in config/examples"));
 			return Either.left(faults);
 		}
-		T settings = conversion.apply(new Section("", root, faults));
+		T settings = converter.apply(new Section("", root, faults));
 		return faults.isEmpty() ? Either.right(settings) : Either.left(faults);
 	}
 
 	private static EntrySettings entry(Section root) {
-		String name = root.named("name", (text) -> new EntryId(text).value());
-		String region = root.named("region", (text) -> new EntryId(text).value());
-		ZoneId zone = root.named("zone", ZoneId::new);
+		String name = root.parsed("name", (text) -> new EntryId(text).value());
+		String region = root.parsed("region", (text) -> new EntryId(text).value());
+		ZoneId zone = root.parsed("zone", ZoneId::new);
 		InetSocketAddress http = root.address("http");
 		InetSocketAddress peers = root.address("peers");
 		InetSocketAddress advertise = root.addressOr("advertise", peers);
@@ -138,11 +138,11 @@
 		PeerSettings peer = peer(root.section("peer"), timing.heartbeat());
 		Section limitsSection = root.section("limits");
 		HttpLimits limits = limits(limitsSection);
-		requireFrameAbove(limits.maxBodyBytes(), peer, limitsSection);
+		requireBodyFitsFrame(limits.maxBodyBytes(), peer, limitsSection);
 		Map<String, CustomerId> customerTokens = new LinkedHashMap<>();
 		Map<String, String> operatorTokens = new LinkedHashMap<>();
 		tokens(root.section("tokens"), customerTokens, operatorTokens);
-		root.end();
+		root.rejectUnknownKeys();
 		return new EntrySettings(name, region, zone, http, peers, advertise, table, objects, peer, limits,
 				customerTokens, operatorTokens, timing);
 	}
@@ -153,10 +153,10 @@
 		InetSocketAddress workerApi = root.address("workerApi");
 		InetSocketAddress instance = root.address("instance");
 		int slots = root.number("slots", 8, 1, 10_000);
-		int connections = root.number("connections", 64, 1, MOST_CONNECTIONS);
+		int connections = root.number("connections", 64, 1, MAX_CONNECTIONS);
 		TargetSettings.Timing timing = targetTiming(root.section("timing"));
 		PeerSettings peer = peer(root.section("peer"), timing.heartbeat());
-		root.end();
+		root.rejectUnknownKeys();
 		return new TargetSettings(balancer, worker, workerApi, instance, slots, connections, peer, timing);
 	}
 
@@ -167,109 +167,113 @@
 				features.add(feature);
 			}
 		}
-		section.end();
+		section.rejectUnknownKeys();
 		return features;
 	}
 
 	private static WorkerInfo worker(Section section) {
-		WorkerId name = section.named("name", WorkerId::new);
-		ZoneId zone = section.named("zone", ZoneId::new);
-		RackId rack = section.named("rack", RackId::new);
+		WorkerId name = section.parsed("name", WorkerId::new);
+		ZoneId zone = section.parsed("zone", ZoneId::new);
+		RackId rack = section.parsed("rack", RackId::new);
 		int accelerators = section.requiredNumber("accelerators", 0, 1_000);
 		int cores = section.requiredNumber("cores", 1, 100_000);
 		int memoryMb = section.mebibytes("memory");
-		section.end();
+		section.rejectUnknownKeys();
 		return new WorkerInfo(name, zone, rack, new Resources(accelerators, cores, memoryMb));
 	}
 
 	private static PeerSettings peer(Section section, Duration heartbeat) {
-		String key = section.secret("sharedKey", SHORTEST_SECRET);
-		PeerSettings otherwise = PeerSettings.defaults(key);
-		Duration silence = section.duration("heartbeatTimeout", otherwise.heartbeatTimeout(), SHORTEST, LONGEST);
-		Duration handshake = section.duration("handshakeTimeout", otherwise.handshakeTimeout(), SHORTEST, LONGEST);
-		int frame = section.bytes("maxFrame", otherwise.maxFrameBytes(), MEBIBYTE, LARGEST_BYTES);
-		int outstanding = section.bytes("maxOutstanding", otherwise.maxOutstandingBytes(), MEBIBYTE, LARGEST_BYTES);
-		if (silence.compareTo(heartbeat.multipliedBy(2)) < 0) {
-			section.fault("heartbeatTimeout", silence.toMillis() + "ms",
+		String key = section.secret("sharedKey", MIN_SECRET_LENGTH);
+		PeerSettings defaults = PeerSettings.defaults(key);
+		Duration heartbeatTimeout = section.duration("heartbeatTimeout", defaults.heartbeatTimeout(), MIN_DURATION,
+				MAX_DURATION);
+		Duration handshake = section.duration("handshakeTimeout", defaults.handshakeTimeout(), MIN_DURATION,
+				MAX_DURATION);
+		int frame = section.bytes("maxFrame", defaults.maxFrameBytes(), BYTES_PER_MEBIBYTE, MAX_BYTES);
+		int outstanding = section.bytes("maxOutstanding", defaults.maxOutstandingBytes(), BYTES_PER_MEBIBYTE,
+				MAX_BYTES);
+		if (heartbeatTimeout.compareTo(heartbeat.multipliedBy(2)) < 0) {
+			section.addFault("heartbeatTimeout", heartbeatTimeout.toMillis() + "ms",
 					"at least twice timing.heartbeat, which is " + heartbeat.toMillis() + "ms",
 					"raise it, or lower timing.heartbeat");
 		}
-		section.end();
-		return new PeerSettings(key, silence, handshake, frame, outstanding);
+		section.rejectUnknownKeys();
+		return new PeerSettings(key, heartbeatTimeout, handshake, frame, outstanding);
 	}
 
 	private static HttpLimits limits(Section section) {
-		HttpLimits otherwise = HttpLimits.DEFAULT;
-		HttpLimits limits = new HttpLimits(section.bytes("maxHeader", otherwise.maxHeaderBytes(), 1_024, MEBIBYTE),
-				section.bytes("maxBody", otherwise.maxBodyBytes(), 1_024, LARGEST_BYTES),
-				section.number("maxConnections", otherwise.maxConnections(), 1, MOST_CONNECTIONS),
-				section.duration("readTimeout", otherwise.readTimeout(), SHORTEST, LONGEST));
-		section.end();
+		HttpLimits defaults = HttpLimits.DEFAULT;
+		HttpLimits limits = new HttpLimits(
+				section.bytes("maxHeader", defaults.maxHeaderBytes(), 1_024, BYTES_PER_MEBIBYTE),
+				section.bytes("maxBody", defaults.maxBodyBytes(), 1_024, MAX_BYTES),
+				section.number("maxConnections", defaults.maxConnections(), 1, MAX_CONNECTIONS),
+				section.duration("readTimeout", defaults.readTimeout(), MIN_DURATION, MAX_DURATION));
+		section.rejectUnknownKeys();
 		return limits;
 	}
 
 	// A body that is accepted from a caller but fits no frame could never reach a target.
-	private static void requireFrameAbove(int bodyBytes, PeerSettings peer, Section limits) {
-		if (bodyBytes > peer.maxFrameBytes() - AROUND_BODY) {
-			limits.fault("maxBody", bodyBytes + "B",
-					"at most " + (peer.maxFrameBytes() - AROUND_BODY)
+	private static void requireBodyFitsFrame(int bodyBytes, PeerSettings peer, Section limits) {
+		if (bodyBytes > peer.maxFrameBytes() - FRAME_OVERHEAD_BYTES) {
+			limits.addFault("maxBody", bodyBytes + "B",
+					"at most " + (peer.maxFrameBytes() - FRAME_OVERHEAD_BYTES)
 							+ "B, which is peer.maxFrame without 64KiB for what stands around a body",
 					"lower it, or raise peer.maxFrame on entries and targets");
 		}
 	}
 
 	private static void tokens(Section section, Map<String, CustomerId> customers, Map<String, String> operators) {
-		for (Section each : section.list("customers")) {
-			String token = each.secret("token", SHORTEST_SECRET);
-			CustomerId customer = each.named("customer", CustomerId::new);
+		for (Section element : section.list("customers")) {
+			String token = element.secret("token", MIN_SECRET_LENGTH);
+			CustomerId customer = element.parsed("customer", CustomerId::new);
 			if (customers.put(token, customer) != null) {
-				duplicate(each);
+				reportDuplicateToken(element);
 			}
-			each.end();
+			element.rejectUnknownKeys();
 		}
-		for (Section each : section.list("operators")) {
-			String token = each.secret("token", SHORTEST_SECRET);
-			String operator = each.named("operator", (text) -> new EntryId(text).value());
+		for (Section element : section.list("operators")) {
+			String token = element.secret("token", MIN_SECRET_LENGTH);
+			String operator = element.parsed("operator", (text) -> new EntryId(text).value());
 			if (operators.put(token, operator) != null || customers.containsKey(token)) {
-				duplicate(each);
+				reportDuplicateToken(element);
 			}
-			each.end();
+			element.rejectUnknownKeys();
 		}
-		section.end();
+		section.rejectUnknownKeys();
 	}
 
-	private static void duplicate(Section section) {
-		section.fault("token", "a token that stands in the file already", "each token once", "make a new token");
+	private static void reportDuplicateToken(Section section) {
+		section.addFault("token", "a token that stands in the file already", "each token once", "make a new token");
 	}
 
 	private static EntrySettings.Timing entryTiming(Section section) {
-		EntrySettings.Timing otherwise = EntrySettings.Timing.DEFAULT;
+		EntrySettings.Timing defaults = EntrySettings.Timing.DEFAULT;
 		EntrySettings.Timing timing = new EntrySettings.Timing(
-				section.duration("heartbeat", otherwise.heartbeat(), SHORTEST, LONGEST),
-				section.duration("schedulerLease", otherwise.schedulerLease(), Duration.ofMillis(500), LONGEST),
-				section.duration("zoneFreshness", otherwise.zoneFreshness(), SHORTEST, LONGEST),
-				section.duration("configurationPoll", otherwise.configurationPoll(), SHORTEST, LONGEST),
-				section.duration("defaultDeadline", otherwise.defaultDeadline(), SHORTEST, LONGEST),
-				section.duration("drain", otherwise.drain(), SHORTEST, LONGEST));
+				section.duration("heartbeat", defaults.heartbeat(), MIN_DURATION, MAX_DURATION),
+				section.duration("schedulerLease", defaults.schedulerLease(), Duration.ofMillis(500), MAX_DURATION),
+				section.duration("zoneFreshness", defaults.zoneFreshness(), MIN_DURATION, MAX_DURATION),
+				section.duration("configurationPoll", defaults.configurationPoll(), MIN_DURATION, MAX_DURATION),
+				section.duration("defaultDeadline", defaults.defaultDeadline(), MIN_DURATION, MAX_DURATION),
+				section.duration("drain", defaults.drain(), MIN_DURATION, MAX_DURATION));
 		if (timing.zoneFreshness().compareTo(timing.schedulerLease()) > 0) {
-			section.fault("zoneFreshness", timing.zoneFreshness().toMillis() + "ms",
+			section.addFault("zoneFreshness", timing.zoneFreshness().toMillis() + "ms",
 					"at most schedulerLease, which is " + timing.schedulerLease().toMillis() + "ms",
 					"lower it, or raise schedulerLease");
 		}
-		section.end();
+		section.rejectUnknownKeys();
 		return timing;
 	}
 
 	private static TargetSettings.Timing targetTiming(Section section) {
-		TargetSettings.Timing otherwise = TargetSettings.Timing.DEFAULT;
+		TargetSettings.Timing defaults = TargetSettings.Timing.DEFAULT;
 		TargetSettings.Timing timing = new TargetSettings.Timing(
-				section.duration("heartbeat", otherwise.heartbeat(), SHORTEST, LONGEST),
-				section.duration("prepareHold", otherwise.prepareHold(), SHORTEST, LONGEST),
-				section.duration("gangTimeout", otherwise.gangTimeout(), SHORTEST, LONGEST),
-				section.duration("taskLease", otherwise.taskLease(), SHORTEST, LONGEST),
-				section.duration("workerPoll", otherwise.workerPoll(), SHORTEST, LONGEST),
-				section.duration("drain", otherwise.drain(), SHORTEST, LONGEST));
-		section.end();
+				section.duration("heartbeat", defaults.heartbeat(), MIN_DURATION, MAX_DURATION),
+				section.duration("prepareHold", defaults.prepareHold(), MIN_DURATION, MAX_DURATION),
+				section.duration("gangTimeout", defaults.gangTimeout(), MIN_DURATION, MAX_DURATION),
+				section.duration("taskLease", defaults.taskLease(), MIN_DURATION, MAX_DURATION),
+				section.duration("workerPoll", defaults.workerPoll(), MIN_DURATION, MAX_DURATION),
+				section.duration("drain", defaults.drain(), MIN_DURATION, MAX_DURATION));
+		section.rejectUnknownKeys();
 		return timing;
 	}
 
--- a/runtime/src/main/java/org/almondmount/settings/util/Quantity.java
+++ b/runtime/src/main/java/org/almondmount/settings/util/Quantity.java
@@ -11,20 +11,22 @@
 public final class Quantity {
 
 	/** The units of durations, for messages. */
-	public static final String DURATIONS = "a number with ms, s, m or h, such as 500ms or 3s";
+	public static final String DURATION_FORMAT = "a number with ms, s, m or h, such as 500ms or 3s";
 
 	/** The units of sizes, for messages. */
-	public static final String SIZES = "a number with B, KB, MB, GB, TB, KiB, MiB, GiB or TiB, such as 8MiB or 16GB";
+	public static final String SIZE_FORMAT = "a number with B, KB, MB, GB, TB, KiB, MiB, GiB or TiB, such as 8MiB or 16GB";
 
-	private static final Map<String, Long> MILLIS = Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h", 3_600_000L);
+	private static final Map<String, Long> MILLIS_PER_UNIT = Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h",
+			3_600_000L);
 
-	private static final Map<String, Long> BYTES = Map.of("B", 1L, "KB", 1_000L, "MB", 1_000_000L, "GB", 1_000_000_000L,
-			"TB", 1_000_000_000_000L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30, "TiB", 1L << 40);
+	private static final Map<String, Long> BYTES_PER_UNIT = Map.of("B", 1L, "KB", 1_000L, "MB", 1_000_000L, "GB",
+			1_000_000_000L, "TB", 1_000_000_000_000L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30, "TiB",
+			1L << 40);
 
-	private static final int LONGEST_TEXT = 24;
+	private static final int MAX_TEXT_LENGTH = 24;
 
 	// Times are added to clocks in milliseconds; a century can't overflow there.
-	private static final long LONGEST_MILLIS = Duration.ofDays(36_525).toMillis();
+	private static final long MAX_DURATION_MILLIS = Duration.ofDays(36_525).toMillis();
 
 	private Quantity() {
 	}
@@ -35,8 +37,8 @@
 	 * @return the duration in whole milliseconds, at most a century; empty if the text is
 	 * none
 	 */
-	public static Optional<Duration> duration(String text) {
-		return read(text, MILLIS).filter((millis) -> millis <= LONGEST_MILLIS).map(Duration::ofMillis);
+	public static Optional<Duration> parseDuration(String text) {
+		return parse(text, MILLIS_PER_UNIT).filter((millis) -> millis <= MAX_DURATION_MILLIS).map(Duration::ofMillis);
 	}
 
 	/**
@@ -44,12 +46,12 @@
 	 * @param text a number with its unit
 	 * @return the size in bytes, empty if the text is none
 	 */
-	public static Optional<Long> bytes(String text) {
-		return read(text, BYTES);
+	public static Optional<Long> parseBytes(String text) {
+		return parse(text, BYTES_PER_UNIT);
 	}
 
-	private static Optional<Long> read(String text, Map<String, Long> units) {
-		if (text.length() > LONGEST_TEXT) {
+	private static Optional<Long> parse(String text, Map<String, Long> units) {
+		if (text.length() > MAX_TEXT_LENGTH) {
 			return Optional.empty();
 		}
 		int end = 0;
--- a/runtime/src/main/java/org/almondmount/telemetry/ConsoleLog.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/ConsoleLog.java
@@ -29,7 +29,7 @@
 	private static final String CONSOLE = "stdout";
 
 	/** Lines that wait for standard output: some seconds of a busy process. */
-	private static final int MOST_WAITING = 2_048;
+	private static final int MAX_QUEUED_LINES = 2_048;
 
 	private ConsoleLog() {
 	}
@@ -43,7 +43,7 @@
 	}
 
 	static Configuration configuration() {
-		return new InCode();
+		return new ProgrammaticConfiguration();
 	}
 
 	/**
@@ -75,9 +75,9 @@
 	/**
 	 * The configuration. It needs no plugins, so none are looked for.
 	 */
-	private static final class InCode extends AbstractConfiguration {
+	private static final class ProgrammaticConfiguration extends AbstractConfiguration {
 
-		InCode() {
+		ProgrammaticConfiguration() {
 			super(null, ConfigurationSource.NULL_SOURCE);
 			// The last lines of a process that drains come from its own hook.
 			this.isShutdownHookEnabled = false;
@@ -100,7 +100,7 @@
 			Appender bounded = AsyncAppender.newBuilder()
 				.setName("bounded")
 				.setBlocking(false)
-				.setBufferSize(MOST_WAITING)
+				.setBufferSize(MAX_QUEUED_LINES)
 				.setAppenderRefs(new AppenderRef[] { AppenderRef.createAppenderRef(CONSOLE, null, null) })
 				.setConfiguration(this)
 				.build();
--- a/runtime/src/main/java/org/almondmount/telemetry/EventLog.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/EventLog.java
@@ -20,11 +20,11 @@
 
 	/**
 	 * The log of one part.
-	 * @param part the class whose events these are
+	 * @param source the class whose events these are
 	 * @return its log
 	 */
-	public static EventLog of(Class<?> part) {
-		return new EventLog(LogManager.getLogger(part));
+	public static EventLog of(Class<?> source) {
+		return new EventLog(LogManager.getLogger(source));
 	}
 
 	/**
--- a/runtime/src/main/java/org/almondmount/telemetry/MetricsDocument.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/MetricsDocument.java
@@ -19,7 +19,7 @@
  */
 public final class MetricsDocument {
 
-	private static final double NANOS_A_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+	private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
 	private final MetricRegistry registry;
 
@@ -48,14 +48,14 @@
 	}
 
 	private static Map<String, Object> distribution(Metric metric, Snapshot snapshot) {
-		double unit = (metric instanceof Timer) ? NANOS_A_MILLI : 1;
+		double divisor = (metric instanceof Timer) ? NANOS_PER_MILLI : 1;
 		Map<String, Object> values = new LinkedHashMap<>();
 		values.put("count", (metric instanceof Counting counting) ? counting.getCount() : 0);
-		values.put("mean", snapshot.getMean() / unit);
-		values.put("p50", snapshot.getMedian() / unit);
-		values.put("p99", snapshot.get99thPercentile() / unit);
-		values.put("p999", snapshot.get999thPercentile() / unit);
-		values.put("max", snapshot.getMax() / unit);
+		values.put("mean", snapshot.getMean() / divisor);
+		values.put("p50", snapshot.getMedian() / divisor);
+		values.put("p99", snapshot.get99thPercentile() / divisor);
+		values.put("p999", snapshot.get999thPercentile() / divisor);
+		values.put("max", snapshot.getMax() / divisor);
 		return values;
 	}
 
--- a/runtime/src/test/java/org/almondmount/settings/impl/SettingsReaderTests.java
+++ b/runtime/src/test/java/org/almondmount/settings/impl/SettingsReaderTests.java
@@ -61,13 +61,13 @@
 	}
 
 	@Test
-	void aFeatureThatDoesNotExistIsAFault() {
+	void anUnknownFeatureIsAFault() {
 		assertThat(paths(SettingsReader.readPolicy("policy:\n  reserveRooms: false")))
 			.containsExactly("policy.reserveRooms");
 	}
 
 	@Test
-	void tenFaultsAreTenFaults() {
+	void allFaultsAreReportedTogether() {
 		String text = """
 				name: entry 1
 				zone: lulea-a
@@ -94,7 +94,7 @@
 	}
 
 	@Test
-	void aFaultSaysWhatWasFoundWhatIsAllowedAndTheRemedy() {
+	void aFaultNamesTheFoundValueTheAllowedValuesAndTheRemedy() {
 		List<SettingsFault> faults = SettingsReader.readTarget("slots: 0\nwroker: 1").getLeft();
 		assertThat(faults).anySatisfy((fault) -> assertThat(fault.line())
 			.isEqualTo("slots: found 0; allowed: a whole number from 1 to 10000; choose a value in this range"));
@@ -110,7 +110,7 @@
 	}
 
 	@Test
-	void valuesThatContradictEachOtherAreFaults() throws IOException {
+	void contradictoryValuesAreFaults() throws IOException {
 		String text = example("entry.yaml").replace("zoneFreshness: 3s", "zoneFreshness: 9s")
 			.replace("heartbeatTimeout: 2500ms", "heartbeatTimeout: 600ms")
 			.replace("maxBody: 8MiB", "maxBody: 9MiB");
@@ -119,39 +119,39 @@
 	}
 
 	@Test
-	void aKeyThatStandsTwiceIsAFaultWithItsLine() {
+	void aDuplicateKeyIsReportedWithItsLine() {
 		assertThat(paths(SettingsReader.readEntry("zone: a\nzone: b"))).singleElement().asString().startsWith("line 2");
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "500ms,500", "3s,3000", "1.5s,1500", "2m,120000", "1h,3600000" })
 	void durationsHaveUnits(String text, long millis) {
-		assertThat(Quantity.duration(text)).contains(Duration.ofMillis(millis));
+		assertThat(Quantity.parseDuration(text)).contains(Duration.ofMillis(millis));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "5", "s", "-3s", "3 parsecs", "1e9s", "99999999999999999999h", "9999999h", "1.0001ms" })
-	void textsWithoutSenseAreNoDurations(String text) {
-		assertThat(Quantity.duration(text)).isEmpty();
+	void malformedDurationsAreRejected(String text) {
+		assertThat(Quantity.parseDuration(text)).isEmpty();
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "1B,1", "16GB,16000000000", "8MiB,8388608", "1.5KiB,1536" })
 	void sizesHaveUnits(String text, long bytes) {
-		assertThat(Quantity.bytes(text)).contains(bytes);
+		assertThat(Quantity.parseBytes(text)).contains(bytes);
 	}
 
 	@Property(seed = "20261202", tries = 2_000)
-	void noTextEndsTheReader(@ForAll String text) {
+	void anyTextGivesAResult(@ForAll String text) {
 		assertThat(SettingsReader.readEntry(text)).isNotNull();
 		assertThat(SettingsReader.readTarget(text).isLeft()).isTrue();
 	}
 
 	@Property(seed = "20261202", tries = 2_000)
-	void noChangeOfAnExampleEndsTheReader(@ForAll @IntRange(max = 2_000) int place, @ForAll char put)
+	void anyChangedExampleGivesAResult(@ForAll @IntRange(max = 2_000) int position, @ForAll char replacement)
 			throws IOException {
 		StringBuilder text = new StringBuilder(example("entry.yaml"));
-		text.setCharAt(place % text.length(), put);
+		text.setCharAt(position % text.length(), replacement);
 		Either<List<SettingsFault>, EntrySettings> result = SettingsReader.readEntry(text.toString());
 		assertThat(result.isRight() || !result.getLeft().isEmpty()).isTrue();
 	}
--- a/runtime/src/test/java/org/almondmount/telemetry/ConsoleLogTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/ConsoleLogTests.java
@@ -20,24 +20,24 @@
 	private final LoggerContext context = new LoggerContext("test");
 
 	@AfterEach
-	void giveBack() {
+	void restoreOutput() {
 		this.context.stop();
 		System.setOut(this.console);
 	}
 
 	@Test
 	void anEventIsOneLineWithItsTimeLevelAndPart() {
-		ByteArrayOutputStream seen = new ByteArrayOutputStream();
-		System.setOut(new PrintStream(seen, true));
+		ByteArrayOutputStream output = new ByteArrayOutputStream();
+		System.setOut(new PrintStream(output, true));
 		this.context.start(ConsoleLog.configuration());
 		this.context.getLogger("org.almondmount.fleet.entry.TermDriver").warn("event=term-ended epoch=3");
-		await().until(() -> seen.size() > 0);
-		assertThat(seen.toString(StandardCharsets.UTF_8))
+		await().until(() -> output.size() > 0);
+		assertThat(output.toString(StandardCharsets.UTF_8))
 			.matches("time=\\d{13} level=warn part=TermDriver event=term-ended epoch=3\n");
 	}
 
 	@Test
-	void whatIsNotAnEventOfOursIsLeftOut() {
+	void debugEventsAndLibraryWarningsAreDisabled() {
 		this.context.start(ConsoleLog.configuration());
 		assertThat(this.context.getLogger("io.netty.channel").isWarnEnabled()).isFalse();
 		assertThat(this.context.getLogger("org.almondmount").isDebugEnabled()).isFalse();
@@ -47,7 +47,7 @@
 	// Standard output may not be read any more. A process that waited for it would stop
 	// deciding, and its callers would hear nothing.
 	@Test
-	void nobodyWaitsForAnOutputThatIsNotRead() {
+	void loggingDoesNotBlockWhenOutputIsNotRead() {
 		Configuration configuration = ConsoleLog.configuration();
 		this.context.start(configuration);
 		assertThat(configuration.getRootLogger().getAppenders().values()).singleElement()
--- a/runtime/src/test/java/org/almondmount/telemetry/EventLogTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/EventLogTests.java
@@ -7,7 +7,7 @@
 class EventLogTests {
 
 	@Test
-	void plainValuesStandUnquoted() {
+	void plainValuesAreNotQuoted() {
 		assertThat(EventLog.line("job-accepted", "job", "j-1", "epoch", 7))
 			.isEqualTo("event=job-accepted job=j-1 epoch=7");
 	}
--- a/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
@@ -11,7 +11,7 @@
 import org.almondmount.model.RefusalReason;
 import org.almondmount.requests.RetryReason;
 import org.almondmount.services.TableOutcome;
-import org.almondmount.services.TableRetry;
+import org.almondmount.services.TableRetryReason;
 import org.almondmount.wire.CloseReason;
 import org.almondmount.wire.SendRefusal;
 import org.junit.jupiter.api.Test;
@@ -51,10 +51,10 @@
 	}
 
 	@Test
-	void everyReasonOfTheRuntimeIsListed() throws IOException {
+	void everyRuntimeReasonIsListed() throws IOException {
 		String page = Files.readString(PAGE);
 		List<Enum<?>> reasons = new ArrayList<>(List.of(CutReason.values()));
-		reasons.addAll(List.of(TableRetry.values()));
+		reasons.addAll(List.of(TableRetryReason.values()));
 		reasons.addAll(List.of(TableOutcome.values()));
 		reasons.addAll(List.of(SendRefusal.values()));
 		for (Enum<?> reason : reasons) {
--- a/standins/src/main/java/org/almondmount/standins/platform/TableRole.java
+++ b/standins/src/main/java/org/almondmount/standins/platform/TableRole.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.almondmount.http.HttpAnswer;
 import org.almondmount.http.HttpCall;
-import org.almondmount.services.util.RateBound;
+import org.almondmount.services.util.RateLimiter;
 
 /**
  * The platform's transactional table, in memory. Not thread-safe.
@@ -27,9 +27,9 @@
 
 	private final EventRecord events;
 
-	private RateBound writes = new RateBound(WRITES_PER_SECOND, System::nanoTime);
+	private RateLimiter writes = new RateLimiter(WRITES_PER_SECOND, System::nanoTime);
 
-	private RateBound reads = new RateBound(READS_PER_SECOND, System::nanoTime);
+	private RateLimiter reads = new RateLimiter(READS_PER_SECOND, System::nanoTime);
 
 	private long writeLimit = WRITES_PER_SECOND;
 
@@ -71,12 +71,12 @@
 
 	private HttpAnswer limitedRead(Supplier<HttpAnswer> read) {
 		this.readCount++;
-		return this.reads.tryTake() ? read.get() : Documents.problem(429, "over the rate of reads");
+		return this.reads.tryAcquire() ? read.get() : Documents.problem(429, "over the rate of reads");
 	}
 
 	private HttpAnswer transaction(HttpCall call) {
 		this.writeCount++;
-		if (!this.writes.tryTake()) {
+		if (!this.writes.tryAcquire()) {
 			return Documents.answer(429, outcome("not-committed"));
 		}
 		JsonNode body = Documents.body(call);
@@ -135,12 +135,12 @@
 		long wanted = orElse(this.faults.value(Fault.WRITES_PER_SECOND), WRITES_PER_SECOND);
 		if (wanted != this.writeLimit) {
 			this.writeLimit = wanted;
-			this.writes = new RateBound((int) wanted, System::nanoTime);
+			this.writes = new RateLimiter((int) wanted, System::nanoTime);
 		}
 		wanted = orElse(this.faults.value(Fault.READS_PER_SECOND), READS_PER_SECOND);
 		if (wanted != this.readLimit) {
 			this.readLimit = wanted;
-			this.reads = new RateBound((int) wanted, System::nanoTime);
+			this.reads = new RateLimiter((int) wanted, System::nanoTime);
 		}
 	}
 
--- a/standins/src/test/java/org/almondmount/standins/platform/TableServiceTests.java
+++ b/standins/src/test/java/org/almondmount/standins/platform/TableServiceTests.java
@@ -110,10 +110,10 @@
 		// token's row as cancelled, so that the transaction never takes effect.
 		this.fixture.set(Fault.SILENT, 1);
 		assertThat(commit("t1", "a", 0, "one")).isInstanceOf(CommitResult.Unknown.class);
-		assertThat(this.service.settle("t1").join()).isInstanceOf(CommitResult.Unknown.class);
+		assertThat(this.service.resolve("t1").join()).isInstanceOf(CommitResult.Unknown.class);
 		this.fixture.set(Fault.SILENT, 0);
-		assertThat(this.service.settle("t1").join()).isInstanceOf(CommitResult.NotCommitted.class);
-		assertThat(this.service.settle("t1").join()).isInstanceOf(CommitResult.NotCommitted.class);
+		assertThat(this.service.resolve("t1").join()).isInstanceOf(CommitResult.NotCommitted.class);
+		assertThat(this.service.resolve("t1").join()).isInstanceOf(CommitResult.NotCommitted.class);
 		assertThat(commit("t1", "a", 0, "one")).isInstanceOf(CommitResult.NotCommitted.class);
 		assertThat(row("a")).isEmpty();
 	}
@@ -123,7 +123,7 @@
 		this.service = service(ONE_ATTEMPT);
 		this.fixture.set(Fault.LOSE_ANSWERS, 1);
 		assertThat(commit("t1", "a", 0, "one")).isInstanceOf(CommitResult.Unknown.class);
-		assertThat(this.service.settle("t1").join()).isEqualTo(new CommitResult.Committed());
+		assertThat(this.service.resolve("t1").join()).isEqualTo(new CommitResult.Committed());
 	}
 
 	@Test
@@ -134,7 +134,7 @@
 		this.fixture.set(Fault.DELAY_MILLIS, 600);
 		assertThat(commit("t1", "a", 0, "one")).isInstanceOf(CommitResult.Unknown.class);
 		this.fixture.set(Fault.DELAY_MILLIS, 0);
-		assertThat(this.service.settle("t1").join()).isInstanceOf(CommitResult.NotCommitted.class);
+		assertThat(this.service.resolve("t1").join()).isInstanceOf(CommitResult.NotCommitted.class);
 		Awaitility.await().until(() -> this.fixture.eventCount("conflict") == 1);
 		assertThat(row("a")).isEmpty();
 	}
