--- a/runtime/src/main/java/org/almondmount/services/ObjectStore.java
+++ b/runtime/src/main/java/org/almondmount/services/ObjectStore.java
@@ -3,21 +3,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's object store, where checkpoints lie. Thread-safe.
+ * Client of the platform's object store, which holds the checkpoints. Thread-safe.
  */
 public interface ObjectStore {
 
 	/**
-	 * Whether an object is there.
-	 * @param name its name
-	 * @return whether it is there, or a failed future when the store does not answer
+	 * Checks whether an object exists.
+	 * @param name the name of the object
+	 * @return whether the object exists, or a failed future when the store does not
+	 * answer
 	 */
 	CompletableFuture<Boolean> exists(String name);
 
 	/**
-	 * Removes an object; one that is not there is no error.
-	 * @param name its name
-	 * @return completes when it is gone
+	 * Deletes an object. Deleting an object that does not exist is not an error.
+	 * @param name the name of the object
+	 * @return completes when the object is deleted
 	 */
 	CompletableFuture<Void> delete(String name);
 
--- a/runtime/src/main/java/org/almondmount/services/TableOutcome.java
+++ b/runtime/src/main/java/org/almondmount/services/TableOutcome.java
@@ -1,20 +1,20 @@
 package org.almondmount.services;
 
 /**
- * How operations on the table ended; each has a counter.
+ * Outcomes of operations on the table. Each has a counter.
  */
 public enum TableOutcome {
 
 	/** A transaction took effect. */
 	COMMITTED,
 
-	/** A transaction's condition did not hold. */
+	/** A condition of a transaction did not hold. */
 	CONFLICT,
 
 	/** A transaction took no effect and never will. */
 	NOT_COMMITTED,
 
-	/** Nobody can tell yet whether a transaction took effect. */
+	/** It is not known yet whether a transaction took effect. */
 	UNKNOWN,
 
 	/** A read was answered. */
@@ -23,7 +23,7 @@
 	/** A read was not answered. */
 	UNREAD,
 
-	/** This process's own rate bound refused an operation before it was sent. */
+	/** The rate limiter of this process refused an operation before it was sent. */
 	OVER_RATE
 
 }
--- a/runtime/src/main/java/org/almondmount/services/TableRetryReason.java
+++ b/runtime/src/main/java/org/almondmount/services/TableRetryReason.java
@@ -1,20 +1,20 @@
 package org.almondmount.services;
 
 /**
- * Every reason for which an operation is sent to the table once more; each has a counter.
+ * The reasons for which an operation on the table is retried. Each has a counter.
  */
 public enum TableRetryReason {
 
-	/** No connection: nothing was sent. */
+	/** No connection was available; nothing was sent. */
 	NOT_SENT,
 
-	/** The table refused it for its rate. */
+	/** The table refused the operation because of its rate limit. */
 	RATE,
 
-	/** The table said that it is away. */
+	/** The table answered that it is unavailable. */
 	AWAY,
 
-	/** The answer was lost or late. */
+	/** The answer was lost, late or inconclusive. */
 	ANSWER_LOST
 
 }
--- a/runtime/src/main/java/org/almondmount/services/TableService.java
+++ b/runtime/src/main/java/org/almondmount/services/TableService.java
@@ -5,38 +5,38 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's transactional table. Thread-safe. Futures complete on an I/O thread and
- * never exceptionally: every ending is a value.
+ * Client of the platform's transactional table. Thread-safe. Futures complete on an I/O
+ * thread and never exceptionally: every outcome is a value.
  */
 public interface TableService {
 
 	/**
 	 * Reads one row.
 	 * @param key its key
-	 * @return the row if it is there, or an unavailable result
+	 * @return the row if it exists, or an unavailable result
 	 */
 	CompletableFuture<ReadResult<Optional<Row>>> read(String key);
 
 	/**
-	 * Reads all rows whose keys start with a prefix, in the order of their keys.
+	 * Reads all rows whose keys start with a prefix, ordered by key.
 	 * @param prefix the prefix
 	 * @return the rows, or an unavailable result
 	 */
 	CompletableFuture<ReadResult<List<Row>>> scan(String prefix);
 
 	/**
-	 * Commits a transaction whole or not at all. An answer that is lost is settled by
-	 * reading the transaction's token back before this gives up and says unknown.
+	 * Commits a transaction atomically. If an answer is lost, the outcome is resolved by
+	 * reading the transaction's token; the result is unknown only if this fails too.
 	 * @param transaction conditions, writes and the token
-	 * @return how it ended
+	 * @return the outcome
 	 */
 	CompletableFuture<CommitResult> commit(Transaction transaction);
 
 	/**
-	 * Settles a transaction whose ending was unknown, later.
+	 * Resolves the outcome of an earlier transaction whose result was unknown.
 	 * @param token the transaction's token
-	 * @return committed if the token is there; not-committed only if it can never be;
-	 * else unknown
+	 * @return committed if the token exists; not-committed only if the transaction can
+	 * never take effect; unknown otherwise
 	 */
 	CompletableFuture<CommitResult> resolve(String token);
 
@@ -44,17 +44,17 @@
 	 * A row.
 	 *
 	 * @param key its key
-	 * @param version grows with each write of the row, from 1
-	 * @param value a JSON text
+	 * @param version version that starts at 1 and increases with each write of the row
+	 * @param value the value as JSON text
 	 */
 	record Row(String key, long version, String value) {
 	}
 
 	/**
-	 * A condition: the row is at that version when the transaction commits.
+	 * A condition that a row has a given version when the transaction commits.
 	 *
 	 * @param key the row's key
-	 * @param version the version, or 0 for a row that is not there
+	 * @param version the version, or 0 if the row must not exist
 	 */
 	record Condition(String key, long version) {
 	}
@@ -71,9 +71,9 @@
 	/**
 	 * A transaction.
 	 *
-	 * @param token unique; it makes a repeat harmless
-	 * @param conditions all have to hold
-	 * @param writes all are made
+	 * @param token unique token, which makes the transaction idempotent
+	 * @param conditions conditions that must all hold
+	 * @param writes writes, all of which are applied
 	 */
 	record Transaction(String token, List<Condition> conditions, List<Write> writes) {
 
@@ -85,13 +85,13 @@
 	}
 
 	/**
-	 * What a read gave.
+	 * The result of a read.
 	 *
-	 * @param <T> the rows
+	 * @param <T> the type of the rows
 	 */
 	sealed interface ReadResult<T> {
 
-		/** The rows as they were at some moment between call and answer. */
+		/** The rows as of some time between call and answer. */
 		record Found<T>(T rows) implements ReadResult<T> {
 		}
 
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * How a commit ended.
+	 * The outcome of a commit.
 	 */
 	sealed interface CommitResult {
 
@@ -115,13 +115,13 @@
 		}
 
 		/**
-		 * Nothing took effect and nothing will: it was refused before it was sent or by
-		 * rate.
+		 * The transaction did not take effect and never will: it was refused before it
+		 * was sent or by a rate limit.
 		 */
 		record NotCommitted(String reason) implements CommitResult {
 		}
 
-		/** It may or may not have taken effect; settle it later. */
+		/** The transaction may or may not have taken effect; resolve it later. */
 		record Unknown(String reason) implements CommitResult {
 		}
 
--- a/runtime/src/main/java/org/almondmount/services/WorkerClient.java
+++ b/runtime/src/main/java/org/almondmount/services/WorkerClient.java
@@ -9,19 +9,20 @@
 import org.almondmount.model.Resources;
 
 /**
- * The worker beside a target. Thread-safe. A task runs under a lease: the worker stops it
- * by itself when the lease is not renewed.
+ * Client of the worker that a target controls. Thread-safe. Each task runs under a lease:
+ * the worker stops the task when the lease is not renewed in time.
  */
 public interface WorkerClient {
 
 	/**
-	 * Starts a task; starting the same one twice starts it once.
+	 * Starts a task. The call is idempotent: a repeated start has no further effect.
 	 * @param attempt the attempt
 	 * @param member the member
 	 * @param spec the job
-	 * @param fromCheckpoint whether to go on from the job's last checkpoint
-	 * @param lease time until the worker stops it unless renewed
-	 * @return completes when the worker has taken it; fails with {@code HttpFailure} else
+	 * @param fromCheckpoint whether to resume from the job's last checkpoint
+	 * @param lease time after which the worker stops the task unless the lease is renewed
+	 * @return completes when the worker has accepted the command; fails with
+	 * {@code HttpFailure} otherwise
 	 */
 	CompletableFuture<Void> start(Attempt attempt, int member, JobSpec spec, boolean fromCheckpoint, Duration lease);
 
@@ -29,50 +30,50 @@
 	 * Renews a task's lease.
 	 * @param attempt the attempt
 	 * @param member the member
-	 * @param lease the new time from now
-	 * @return completes when renewed
+	 * @param lease the new lease duration, from now
+	 * @return completes when the lease is renewed
 	 */
 	CompletableFuture<Void> renew(Attempt attempt, int member, Duration lease);
 
 	/**
-	 * Has the task checkpointed and then ended.
+	 * Requests that a task saves a checkpoint and then ends.
 	 * @param attempt the attempt
 	 * @param member the member
-	 * @return completes when the worker has taken the order
+	 * @return completes when the worker has accepted the command
 	 */
 	CompletableFuture<Void> suspend(Attempt attempt, int member);
 
 	/**
-	 * Has the task ended now.
+	 * Stops a task immediately.
 	 * @param attempt the attempt
 	 * @param member the member
-	 * @return completes when the worker has taken the order
+	 * @return completes when the worker has accepted the command
 	 */
 	CompletableFuture<Void> stop(Attempt attempt, int member);
 
 	/**
-	 * Slows the task down.
+	 * Throttles a task.
 	 * @param attempt the attempt
 	 * @param member the member
-	 * @return completes when the worker has taken the order
+	 * @return completes when the worker has accepted the command
 	 */
 	CompletableFuture<Void> throttle(Attempt attempt, int member);
 
 	/**
-	 * The tasks that the worker knows, running or ended.
-	 * @return their states
+	 * Lists the tasks of the worker, running or ended.
+	 * @return the reported state of each task
 	 */
 	CompletableFuture<List<TaskReport>> tasks();
 
 	/**
-	 * A task as the worker reports it.
+	 * The state of a task as reported by the worker.
 	 *
 	 * @param attempt the attempt
 	 * @param member the member
 	 * @param state {@code running}, {@code succeeded}, {@code failed},
 	 * {@code worker-failed}, {@code suspended} or {@code stopped}
-	 * @param checkpoints checkpoints taken so far
-	 * @param used what it used a while ago
+	 * @param checkpoints number of checkpoints saved so far
+	 * @param used resources in use at an earlier sample; may be out of date
 	 */
 	record TaskReport(Attempt attempt, int member, String state, int checkpoints, Resources used) {
 	}
--- a/runtime/src/main/java/org/almondmount/services/impl/Backoff.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Backoff.java
@@ -7,10 +7,10 @@
 import org.almondmount.net.IoThreads;
 
 /**
- * Pauses between attempts that double and are spread at random. Thread-safe.
+ * Exponential backoff with jitter between attempts. Thread-safe.
  * <p>
- * Processes that lost the table at the same moment would all come back at the same
- * moment; the spread of half to one and a half pulls them apart.
+ * Processes that lose the table at the same time would otherwise all retry at the same
+ * time. The jitter spreads each pause between 0.5 and 1.5 times its mean.
  */
 final class Backoff {
 
@@ -24,9 +24,9 @@
 	}
 
 	/**
-	 * Does something after the pause that follows an attempt.
+	 * Schedules an action after the pause that follows a failed attempt.
 	 * @param attempt the attempt that failed, from 1
-	 * @param action what to do, on an I/O thread
+	 * @param action the action, called on an I/O thread
 	 */
 	void scheduleAfterAttempt(int attempt, Runnable action) {
 		long mean = this.initialDelay.toMillis() << (attempt - 1);
--- a/runtime/src/main/java/org/almondmount/services/impl/HttpObjectStore.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpObjectStore.java
@@ -10,7 +10,7 @@
 import org.almondmount.services.ObjectStore;
 
 /**
- * The platform's object store over HTTP. Thread-safe.
+ * Client of the platform's object store over HTTP. Thread-safe.
  */
 public final class HttpObjectStore implements ObjectStore {
 
--- a/runtime/src/main/java/org/almondmount/services/impl/HttpTableService.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpTableService.java
@@ -20,7 +20,7 @@
 import org.almondmount.telemetry.Telemetry;
 
 /**
- * The platform's table over HTTP with JSON. Thread-safe.
+ * Client of the platform's table over HTTP with JSON. Thread-safe.
  */
 public final class HttpTableService implements TableService {
 
@@ -45,12 +45,12 @@
 	private final RateLimiter readLimiter;
 
 	/**
-	 * Makes a client of the table.
+	 * Creates a client of the table.
 	 * @param client sends the calls
-	 * @param io times the pauses between attempts
-	 * @param table where the table listens
-	 * @param options timeouts, attempts and rates
-	 * @param telemetry counts endings and retries
+	 * @param io schedules the pauses between attempts
+	 * @param table the address of the table
+	 * @param options timeouts, attempts and rate limits
+	 * @param telemetry counts outcomes and retries
 	 */
 	public HttpTableService(HttpClient client, IoThreads io, InetSocketAddress table, TableOptions options,
 			Telemetry telemetry) {
@@ -152,9 +152,9 @@
 		});
 	}
 
-	// The token's condition stands first: the table names the first condition that does
-	// not hold, and a repeat has to learn of its own token before it learns that the rows
-	// which it wrote itself have moved on.
+	// The token's condition must be the first: the table reports the first condition that
+	// does not hold, and a retry must detect its own token before it sees the new
+	// versions of the rows that an earlier attempt wrote.
 	private static ObjectNode document(Transaction transaction, String tokenKey, List<String> expiredTokenKeys) {
 		ObjectNode document = Json.createObject();
 		ArrayNode conditions = document.putArray("conditions");
--- a/runtime/src/main/java/org/almondmount/services/impl/HttpWorkerClient.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpWorkerClient.java
@@ -19,8 +19,8 @@
 import org.almondmount.services.WorkerClient;
 
 /**
- * The worker beside a target, over HTTP with JSON. Thread-safe. It sends each call once;
- * all of them are idempotent, so the caller can repeat them.
+ * Worker client that uses HTTP with JSON. Thread-safe. Each call is sent once, without
+ * retries; all calls are idempotent, so the caller can repeat them.
  */
 public final class HttpWorkerClient implements WorkerClient {
 
--- a/runtime/src/main/java/org/almondmount/services/impl/Json.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Json.java
@@ -14,7 +14,7 @@
 import org.almondmount.http.HttpCall;
 
 /**
- * Calls and answers with JSON bodies.
+ * Creates HTTP calls with JSON bodies and parses JSON answers.
  */
 final class Json {
 
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	 * The body of an answer.
+	 * Parses the body of an answer.
 	 * @param answer the answer
-	 * @return its tree, or a missing node where the body is no JSON
+	 * @return the JSON tree, or a missing node if the body is not valid JSON
 	 */
 	static JsonNode parseBody(HttpAnswer answer) {
 		try {
--- a/runtime/src/main/java/org/almondmount/services/impl/TableCommit.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableCommit.java
@@ -7,12 +7,13 @@
 import org.almondmount.services.TableService.CommitResult;
 
 /**
- * One transaction on its way through several attempts. Its attempts follow each other, so
- * no two threads use it at the same time.
+ * Commits one transaction with retries. Attempts are sequential, so no two threads use an
+ * instance at the same time.
  * <p>
- * Every attempt sends the same transaction, whose first condition is that its token's row
- * is not there. A lost answer thus makes no second effect: the next attempt conflicts on
- * the token, and the row's value says how the first one ended.
+ * Every attempt sends the same transaction, whose first condition is that its token row
+ * does not exist. A retry after a lost answer therefore can't apply the transaction
+ * twice: it conflicts on the token row, whose value is the outcome of the earlier
+ * attempt.
  */
 final class TableCommit {
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TableExchange.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableExchange.java
@@ -12,8 +12,8 @@
 import org.almondmount.services.TableRetryReason;
 
 /**
- * Single exchanges with the table, told apart by what they mean for the operation.
- * Thread-safe.
+ * Performs single exchanges with the table and classifies their replies by the effect on
+ * the operation. Thread-safe.
  */
 final class TableExchange {
 
@@ -39,9 +39,9 @@
 	}
 
 	/**
-	 * Sends one call.
+	 * Sends a call.
 	 * @param call the call
-	 * @return what came of it; never completed exceptionally
+	 * @return the classified reply; never completes exceptionally
 	 */
 	CompletableFuture<Reply> send(HttpCall call) {
 		this.metrics.recordSent();
@@ -69,11 +69,11 @@
 	}
 
 	/**
-	 * What came of an exchange.
+	 * The classified result of an exchange.
 	 */
 	sealed interface Reply {
 
-		/** An answer that decides the operation. */
+		/** An answer that determines the outcome of the operation. */
 		record Conclusive(int status, JsonNode body) implements Reply {
 
 			boolean isConflict() {
@@ -82,7 +82,10 @@
 
 		}
 
-		/** No answer that decides it; try again if attempts are left. */
+		/**
+		 * No answer that determines the outcome; the operation is retried if attempts
+		 * remain.
+		 */
 		record Inconclusive(TableRetryReason retryReason, String detail) implements Reply {
 
 			boolean mayHaveTakenEffect() {
--- a/runtime/src/main/java/org/almondmount/services/impl/TableMetrics.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableMetrics.java
@@ -6,7 +6,7 @@
 import org.almondmount.telemetry.Telemetry;
 
 /**
- * What is counted about the table. Thread-safe.
+ * Counters of the table client. Thread-safe.
  */
 final class TableMetrics {
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TokenCleanupQueue.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TokenCleanupQueue.java
@@ -7,12 +7,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tokens of this process's own transactions whose rows can be deleted by and by.
- * Thread-safe.
+ * Queue of the tokens of this process's resolved transactions, whose rows are deleted
+ * after a retention time. Thread-safe.
  * <p>
- * A token's row has to outlive every copy of its transaction that may still be on its
- * way, else a late copy would take effect a second time. Copies live no longer than a few
- * attempts of some hundred milliseconds; ten minutes is far beyond that.
+ * A token row must outlive every copy of its transaction that may still be in flight, or
+ * a delayed copy would be applied a second time. Copies are in flight no longer than a
+ * few attempts of some hundred milliseconds; the retention time of ten minutes is far
+ * longer.
  */
 final class TokenCleanupQueue {
 
@@ -37,8 +38,9 @@
 	}
 
 	/**
-	 * Takes some keys whose rows are of no use any more.
-	 * @return a few keys; give them to {@link #add} again if they were not deleted
+	 * Removes some keys from the queue whose rows can be deleted.
+	 * @return a batch of keys; pass them to {@link #add} again if their rows were not
+	 * deleted
 	 */
 	synchronized List<String> pollExpired() {
 		long now = this.nanoClock.getAsLong();
@@ -51,7 +53,7 @@
 	}
 
 	/**
-	 * A token's row and when its transaction's ending was known.
+	 * The key of a token row and the time when its transaction was resolved.
 	 */
 	private record ResolvedToken(String key, long resolvedAtNanos) {
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TransactionTokenStore.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TransactionTokenStore.java
@@ -7,7 +7,8 @@
 import org.almondmount.services.TableService.CommitResult;
 
 /**
- * The rows that tell how transactions ended. Thread-safe.
+ * Accesses the token rows of the table, which record the outcomes of transactions.
+ * Thread-safe.
  */
 final class TransactionTokenStore {
 
@@ -39,8 +40,9 @@
 	}
 
 	/**
-	 * Makes sure that a transaction either has taken effect or never will.
-	 * @param key its token's row
+	 * Cancels a transaction unless it has taken effect already, so that its outcome is
+	 * final.
+	 * @param key key of the transaction's token row
 	 * @return committed, not committed, or unknown when the table does not answer
 	 */
 	CompletableFuture<CommitResult> cancel(String key) {
@@ -50,8 +52,8 @@
 	}
 
 	/**
-	 * Reads how a transaction ended whose token's row is there.
-	 * @param key its token's row
+	 * Reads the outcome of a transaction whose token row exists.
+	 * @param key key of the transaction's token row
 	 * @return committed, not committed, or unknown when the table does not answer
 	 */
 	CompletableFuture<CommitResult> read(String key) {
--- a/runtime/src/main/java/org/almondmount/services/impl/package-info.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The platform's services over HTTP with JSON.
+ * Clients of the platform services that use HTTP with JSON.
  */
 package org.almondmount.services.impl;
--- a/runtime/src/main/java/org/almondmount/services/package-info.java
+++ b/runtime/src/main/java/org/almondmount/services/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Clients of the platform: the transactional table service, the object store and the
- * worker beside a target.
+ * Clients of the platform services: the transactional table, the object store and the
+ * worker that a target controls.
  */
 package org.almondmount.services;
--- a/runtime/src/main/java/org/almondmount/services/util/RateLimiter.java
+++ b/runtime/src/main/java/org/almondmount/services/util/RateLimiter.java
@@ -3,11 +3,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * A token bucket. Thread-safe.
+ * A rate limiter based on a token bucket. Thread-safe.
  * <p>
- * The platform's table takes a few hundred writes a second for everybody. A burst beyond
- * it would come back as refusals and timeouts for all processes; a bound at each process
- * keeps its own burst from becoming everybody's.
+ * The platform's table accepts a few hundred writes per second in total. A burst above
+ * this limit causes refusals and timeouts for all processes, so each process limits its
+ * own rate.
  */
 public final class RateLimiter {
 
@@ -22,8 +22,8 @@
 	private long lastRefillNanos;
 
 	/**
-	 * Makes a full bucket.
-	 * @param permitsPerSecond the rate, also the burst
+	 * Creates a limiter with a full bucket.
+	 * @param permitsPerSecond the rate in permits per second, also the maximum burst
 	 * @param nanoClock a monotonic clock in nanoseconds
 	 */
 	public RateLimiter(int permitsPerSecond, LongSupplier nanoClock) {
@@ -34,8 +34,8 @@
 	}
 
 	/**
-	 * Takes one token.
-	 * @return false when there is none
+	 * Takes one token if available.
+	 * @return whether a token was available
 	 */
 	public synchronized boolean tryAcquire() {
 		long now = this.nanoClock.getAsLong();
--- a/runtime/src/main/java/org/almondmount/services/util/package-info.java
+++ b/runtime/src/main/java/org/almondmount/services/util/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Helpers for clients and stand-ins of the platform.
+ * Utilities shared by the clients and the stand-ins of the platform services.
  */
 package org.almondmount.services.util;
--- a/runtime/src/main/java/org/almondmount/settings/EntrySettings.java
+++ b/runtime/src/main/java/org/almondmount/settings/EntrySettings.java
@@ -10,21 +10,21 @@
 import org.almondmount.wire.PeerSettings;
 
 /**
- * The settings of an entry process, checked. Immutable.
+ * The validated settings of an entry process. Immutable.
  *
- * @param name the VM's name; each start adds a suffix of its own
+ * @param name the VM's name; the process adds a new suffix at each start
  * @param region the region, which is the scheduler's cell
- * @param zone the availability zone that it stands in
- * @param http where callers connect
- * @param peers where other processes connect
- * @param advertise the address by which other processes reach {@code peers}; the same
- * unless something stands between, such as an address translation
- * @param table the platform's table service
- * @param objects the platform's object store
- * @param peer how connections between processes behave
- * @param limits the bounds towards callers
- * @param customerTokens tokens of callers with their customer
- * @param operatorTokens tokens of operators with the operator's name
+ * @param zone the availability zone of the VM
+ * @param http listen address for callers
+ * @param peers listen address for other processes
+ * @param advertise the address at which other processes reach {@code peers}; the same as
+ * {@code peers} unless, for example, network address translation is in between
+ * @param table address of the platform's table service
+ * @param objects address of the platform's object store
+ * @param peer settings of connections between processes
+ * @param limits limits on connections and requests of callers
+ * @param customerTokens customers by caller token
+ * @param operatorTokens operator names by token
  * @param timing intervals and timeouts
  */
 public record EntrySettings(String name, String region, ZoneId zone, InetSocketAddress http, InetSocketAddress peers,
@@ -35,16 +35,16 @@
 	 * Intervals and timeouts of an entry.
 	 *
 	 * @param heartbeat interval between heartbeats
-	 * @param schedulerLease how long the scheduler's lease holds unless renewed
-	 * @param zoneFreshness how old the view of zones may be for a start
-	 * @param configurationPoll interval at which the configuration's row is read
-	 * @param defaultDeadline for requests that name none
-	 * @param drain time for a graceful shutdown
+	 * @param schedulerLease duration of the scheduler's lease unless renewed
+	 * @param zoneFreshness maximum age of the view of zones when a run is started
+	 * @param configurationPoll interval between reads of the configuration row
+	 * @param defaultDeadline deadline of requests that specify none
+	 * @param drain maximum duration of a graceful shutdown
 	 */
 	public record Timing(Duration heartbeat, Duration schedulerLease, Duration zoneFreshness,
 			Duration configurationPoll, Duration defaultDeadline, Duration drain) {
 
-		/** The timing that holds where nothing else is said. */
+		/** The default timing. */
 		public static final Timing DEFAULT = new Timing(Duration.ofMillis(500), Duration.ofSeconds(4),
 				Duration.ofSeconds(3), Duration.ofSeconds(1), Duration.ofSeconds(30), Duration.ofSeconds(30));
 
--- a/runtime/src/main/java/org/almondmount/settings/SettingsFault.java
+++ b/runtime/src/main/java/org/almondmount/settings/SettingsFault.java
@@ -1,18 +1,18 @@
 package org.almondmount.settings;
 
 /**
- * One fault of a settings file.
+ * A validation error in a settings file.
  *
- * @param path its place in the file, such as {@code tokens.customers[0].token}
- * @param found what stands there; secrets are not repeated
- * @param allowed what may stand there
- * @param remedy what to do
+ * @param path path of the setting in the file, such as {@code tokens.customers[0].token}
+ * @param found description of the value found; never contains secrets
+ * @param allowed description of the allowed values
+ * @param remedy how to correct it
  */
 public record SettingsFault(String path, String found, String allowed, String remedy) {
 
 	/**
-	 * The fault for people.
-	 * @return one line
+	 * Formats the fault as a readable message.
+	 * @return a single line
 	 */
 	public String line() {
 		return this.path + ": found " + this.found + "; allowed: " + this.allowed + "; " + this.remedy;
--- a/runtime/src/main/java/org/almondmount/settings/impl/Section.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/Section.java
@@ -19,8 +19,8 @@
 import org.almondmount.settings.util.Quantity;
 
 /**
- * One mapping of a settings file. Not thread-safe. Whatever is wrong is noted and a
- * harmless value is given back, so that one reading finds all faults.
+ * A mapping in a settings file. Not thread-safe. An invalid value is recorded as a fault
+ * and replaced by a placeholder value, so that a single pass finds all faults.
  */
 final class Section {
 
@@ -72,12 +72,12 @@
 	}
 
 	/**
-	 * A value with a rule of its own.
-	 * @param <T> its type
-	 * @param key its key; required
-	 * @param parser makes the value, or says by {@link InvalidValueException} what is
-	 * wrong
-	 * @return the value, or null where there is a fault
+	 * Reads a required value and converts it with a parser.
+	 * @param <T> the type of the value
+	 * @param key the key of the value
+	 * @param parser converts the text; throws {@link InvalidValueException} if it is
+	 * invalid
+	 * @return the value, or null if it is missing or invalid
 	 */
 	<T> T parsed(String key, Function<String, T> parser) {
 		Optional<String> text = text(key);
@@ -205,11 +205,11 @@
 	}
 
 	/**
-	 * Notes a fault; a place has at most one, the first.
+	 * Records a fault unless the setting has one already: only its first fault is kept.
 	 * @param key the setting
-	 * @param found what stands there
-	 * @param allowed what may stand there
-	 * @param remedy what to do
+	 * @param found description of the value found
+	 * @param allowed description of the allowed values
+	 * @param remedy how to correct it
 	 */
 	void addFault(String key, String found, String allowed, String remedy) {
 		String place = pathOf(key);
@@ -222,8 +222,8 @@
 	}
 
 	/**
-	 * Has to be called last: whatever was not asked for is a fault, because a mistyped
-	 * key would otherwise leave its default in force unseen.
+	 * Records a fault for each key that was not read. Must be called last. Without this
+	 * check a mistyped key would silently leave the default in force.
 	 */
 	void rejectUnknownKeys() {
 		Iterator<String> keys = this.node.fieldNames();
@@ -260,8 +260,8 @@
 		return this.path.isEmpty() ? key : this.path + "." + key;
 	}
 
-	// A name would be looked up on the network while settings are checked; processes
-	// learn their addresses as numbers.
+	// Accepts IP addresses only: resolving a host name would need a network lookup during
+	// validation, and processes are configured with numeric addresses.
 	private static Optional<InetSocketAddress> parseAddress(String text) {
 		int colon = text.lastIndexOf(':');
 		if (colon < 1) {
--- a/runtime/src/main/java/org/almondmount/settings/impl/SettingsReader.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/SettingsReader.java
@@ -32,7 +32,7 @@
 import org.almondmount.workflow.SchedulerFeature;
 
 /**
- * Reads settings files and tells all their faults at once. Thread-safe.
+ * Reads settings files and reports all faults of a file together. Thread-safe.
  */
 public final class SettingsReader {
 
@@ -60,7 +60,7 @@
 	/**
 	 * Reads the settings of an entry.
 	 * @param text the file's text
-	 * @return the settings, or all faults in the order of reading
+	 * @return the settings, or all faults in the order in which they were found
 	 */
 	public static Either<List<SettingsFault>, EntrySettings> readEntry(String text) {
 		return read(text, SettingsReader::entry);
@@ -69,16 +69,16 @@
 	/**
 	 * Reads the settings of a target.
 	 * @param text the file's text
-	 * @return the settings, or all faults in the order of reading
+	 * @return the settings, or all faults in the order in which they were found
 	 */
 	public static Either<List<SettingsFault>, TargetSettings> readTarget(String text) {
 		return read(text, SettingsReader::target);
 	}
 
 	/**
-	 * Reads the policy of a scheduler for workflows.
+	 * Reads the policy of the workflow scheduler.
 	 * @param text the file's text
-	 * @return the features that are on, or all faults in the order of reading
+	 * @return the enabled features, or all faults in the order in which they were found
 	 */
 	public static Either<List<SettingsFault>, Set<SchedulerFeature>> readPolicy(String text) {
 		return read(text, (root) -> {
@@ -89,9 +89,9 @@
 	}
 
 	/**
-	 * Whether a file is meant for a target rather than an entry.
+	 * Checks whether a file contains settings of a target rather than an entry.
 	 * @param text the file's text
-	 * @return true if it has a worker
+	 * @return whether the file has a key that only settings of a target have
 	 */
 	public static boolean isForTarget(String text) {
 		try {
@@ -212,7 +212,8 @@
 		return limits;
 	}
 
-	// A body that is accepted from a caller but fits no frame could never reach a target.
+	// A body that is accepted from a caller but does not fit in a frame could not be sent
+	// to a target.
 	private static void requireBodyFitsFrame(int bodyBytes, PeerSettings peer, Section limits) {
 		if (bodyBytes > peer.maxFrameBytes() - FRAME_OVERHEAD_BYTES) {
 			limits.addFault("maxBody", bodyBytes + "B",
--- a/runtime/src/main/java/org/almondmount/settings/impl/package-info.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reading and checking of settings files.
+ * Parsing and validation of settings files.
  */
 package org.almondmount.settings.impl;
--- a/runtime/src/main/java/org/almondmount/settings/package-info.java
+++ b/runtime/src/main/java/org/almondmount/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Settings files: YAML bound to records and checked before anything binds.
+ * Settings read from YAML files into records, validated before any address is bound.
  */
 package org.almondmount.settings;
--- a/runtime/src/main/java/org/almondmount/settings/util/Quantity.java
+++ b/runtime/src/main/java/org/almondmount/settings/util/Quantity.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 
 /**
- * Durations and sizes with units.
+ * Parses durations and sizes with units.
  */
 public final class Quantity {
 
-	/** The units of durations, for messages. */
+	/** Description of the duration format, for error messages. */
 	public static final String DURATION_FORMAT = "a number with ms, s, m or h, such as 500ms or 3s";
 
-	/** The units of sizes, for messages. */
+	/** Description of the size format, for error messages. */
 	public static final String SIZE_FORMAT = "a number with B, KB, MB, GB, TB, KiB, MiB, GiB or TiB, such as 8MiB or 16GB";
 
 	private static final Map<String, Long> MILLIS_PER_UNIT = Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h",
@@ -25,26 +25,27 @@
 
 	private static final int MAX_TEXT_LENGTH = 24;
 
-	// Times are added to clocks in milliseconds; a century can't overflow there.
+	// Durations are added to clock readings in milliseconds; the limit of a century
+	// prevents overflow.
 	private static final long MAX_DURATION_MILLIS = Duration.ofDays(36_525).toMillis();
 
 	private Quantity() {
 	}
 
 	/**
-	 * Reads a duration.
+	 * Parses a duration.
 	 * @param text a number with its unit
 	 * @return the duration in whole milliseconds, at most a century; empty if the text is
-	 * none
+	 * not a valid duration
 	 */
 	public static Optional<Duration> parseDuration(String text) {
 		return parse(text, MILLIS_PER_UNIT).filter((millis) -> millis <= MAX_DURATION_MILLIS).map(Duration::ofMillis);
 	}
 
 	/**
-	 * Reads a size.
+	 * Parses a size.
 	 * @param text a number with its unit
-	 * @return the size in bytes, empty if the text is none
+	 * @return the size in bytes; empty if the text is not a valid size
 	 */
 	public static Optional<Long> parseBytes(String text) {
 		return parse(text, BYTES_PER_UNIT);
--- a/runtime/src/main/java/org/almondmount/settings/util/package-info.java
+++ b/runtime/src/main/java/org/almondmount/settings/util/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Quantities with units, as people write them in settings, jobs and intents.
+ * Parsing of quantities with units in settings, jobs and intents.
  */
 package org.almondmount.settings.util;
--- a/runtime/src/main/java/org/almondmount/telemetry/ConsoleLog.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/ConsoleLog.java
@@ -17,26 +17,28 @@
 import org.apache.logging.log4j.core.layout.AbstractStringLayout;
 
 /**
- * Sends log lines to standard output without ever waiting for it; what does not fit into
- * a bounded queue is dropped.
+ * Logging to standard output that never blocks the caller: lines that do not fit in a
+ * bounded queue are dropped.
  * <p>
- * The same can be said in a file, but finding, reading and building that takes most of
- * the processor time of a start, and while a process starts its callers get no answer and
- * leases beside it run out.
+ * The logging is configured in code because locating, parsing and building a
+ * configuration file takes most of the CPU time of a process start. While a process
+ * starts its callers get no answer, and leases of processes on the same machine expire.
  */
 public final class ConsoleLog {
 
 	private static final String CONSOLE = "stdout";
 
-	/** Lines that wait for standard output: some seconds of a busy process. */
+	/**
+	 * Maximum number of lines queued for standard output: some seconds of a busy process.
+	 */
 	private static final int MAX_QUEUED_LINES = 2_048;
 
 	private ConsoleLog() {
 	}
 
 	/**
-	 * Puts it in force. To be called before any logger is made: the first one would look
-	 * for a file.
+	 * Installs the configuration. Must be called before any logger is created, because
+	 * the first logger would search for a configuration file.
 	 */
 	public static void install() {
 		Configurator.initialize(ConsoleLog.class.getClassLoader(), configuration());
@@ -47,7 +49,7 @@
 	}
 
 	/**
-	 * One line an event, after what is alike in all of them.
+	 * Formats an event as one line that starts with its time, level and part.
 	 */
 	private static final class LineLayout extends AbstractStringLayout {
 
@@ -73,13 +75,13 @@
 	}
 
 	/**
-	 * The configuration. It needs no plugins, so none are looked for.
+	 * The logging configuration. It uses no plugins, so no plugin scan takes place.
 	 */
 	private static final class ProgrammaticConfiguration extends AbstractConfiguration {
 
 		ProgrammaticConfiguration() {
 			super(null, ConfigurationSource.NULL_SOURCE);
-			// The last lines of a process that drains come from its own hook.
+			// A draining process writes its last lines from its own shutdown hook.
 			this.isShutdownHookEnabled = false;
 		}
 
--- a/runtime/src/main/java/org/almondmount/telemetry/EventLog.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/EventLog.java
@@ -4,11 +4,12 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes one key=value line for each event. Thread-safe.
+ * Logs each event as one line of key=value pairs. Thread-safe.
  * <p>
- * A caller's text may hold line breaks, quotes or equal signs; unescaped it could forge a
- * second event. Every value outside a plain alphabet is quoted and escaped, which is
- * enough because keys and event names are constants of the code.
+ * Text from a caller may contain line breaks, quotes or equal signs, which could forge a
+ * second event if they were not escaped. Every value with characters other than plain
+ * printable ASCII is quoted and escaped. Keys and event names are constants in the code
+ * and need no escaping.
  */
 public final class EventLog {
 
@@ -19,16 +20,16 @@
 	}
 
 	/**
-	 * The log of one part.
-	 * @param source the class whose events these are
-	 * @return its log
+	 * Returns the event log of a class.
+	 * @param source the class that logs the events
+	 * @return the event log
 	 */
 	public static EventLog of(Class<?> source) {
 		return new EventLog(LogManager.getLogger(source));
 	}
 
 	/**
-	 * Something that happened as it should.
+	 * Logs an expected event.
 	 * @param event the event's name, a constant
 	 * @param keysAndValues alternating constant keys and values
 	 */
@@ -39,7 +40,7 @@
 	}
 
 	/**
-	 * Something that an operator may have to look at.
+	 * Logs an event that may need the attention of an operator.
 	 * @param event the event's name, a constant
 	 * @param keysAndValues alternating constant keys and values
 	 */
@@ -48,9 +49,9 @@
 	}
 
 	/**
-	 * A fault of almondmount itself.
+	 * Logs an internal error of almondmount.
 	 * @param event the event's name, a constant
-	 * @param fault what was thrown
+	 * @param fault the exception
 	 * @param keysAndValues alternating constant keys and values
 	 */
 	public void fault(String event, Throwable fault, Object... keysAndValues) {
--- a/runtime/src/main/java/org/almondmount/telemetry/MetricsDocument.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/MetricsDocument.java
@@ -14,8 +14,9 @@
 import com.codahale.metrics.Timer;
 
 /**
- * The metrics as one document: counters and gauges as numbers, timers and histograms with
- * their count and quantiles; times in milliseconds. Thread-safe.
+ * Exports the metrics as one document. Counters and gauges are numbers; timers and
+ * histograms have a count, mean, quantiles and maximum. Times are in milliseconds.
+ * Thread-safe.
  */
 public final class MetricsDocument {
 
@@ -28,8 +29,8 @@
 	}
 
 	/**
-	 * Reads all metrics as they are now.
-	 * @return values by name, in the order of the names
+	 * Reads the current values of all metrics.
+	 * @return values by name, sorted by name
 	 */
 	public Map<String, Object> read() {
 		Map<String, Object> document = new TreeMap<>();
--- a/runtime/src/main/java/org/almondmount/telemetry/Telemetry.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/Telemetry.java
@@ -10,16 +10,16 @@
 /**
  * The metrics of one process. Thread-safe.
  * <p>
- * Counters are named after enum constants, so that a reason cannot exist without its
- * counter: {@link #declare} registers all constants at zero before the first event.
+ * Counters are named after enum constants, so that every reason has a counter:
+ * {@link #declare} registers a counter at zero for each constant before the first event.
  */
 public final class Telemetry {
 
 	private final MetricRegistry registry = new MetricRegistry();
 
 	/**
-	 * Registers a counter at zero for each constant.
-	 * @param family what is counted, such as {@code refused}
+	 * Registers a counter at zero for each constant of an enum.
+	 * @param family name prefix of the counters, such as {@code refused}
 	 * @param reasons the enum's class
 	 */
 	public void declare(String family, Class<? extends Enum<?>> reasons) {
@@ -30,18 +30,18 @@
 
 	/**
 	 * Counts one event.
-	 * @param family what is counted
-	 * @param reason why
+	 * @param family name prefix of the counter
+	 * @param reason the constant whose counter is incremented
 	 */
 	public void count(String family, Enum<?> reason) {
 		this.registry.counter(name(family, reason)).inc();
 	}
 
 	/**
-	 * Counts an amount.
-	 * @param family what is counted
-	 * @param reason why
-	 * @param amount how much
+	 * Adds an amount to a counter.
+	 * @param family name prefix of the counter
+	 * @param reason the constant whose counter is incremented
+	 * @param amount the amount to add
 	 */
 	public void count(String family, Enum<?> reason, long amount) {
 		this.registry.counter(name(family, reason)).inc(amount);
@@ -56,18 +56,18 @@
 	}
 
 	/**
-	 * Records how long something took.
+	 * Records a duration.
 	 * @param name the timer's name, a constant
-	 * @param time how long
+	 * @param time the duration
 	 */
 	public void time(String name, Duration time) {
 		this.registry.timer(name).update(time);
 	}
 
 	/**
-	 * Registers a value that is read when metrics are asked for.
+	 * Registers a gauge, whose value is read when metrics are requested.
 	 * @param name the gauge's name, a constant
-	 * @param value reads it; called on any thread
+	 * @param value supplies the value; may be called on any thread
 	 */
 	public void gauge(String name, LongSupplier value) {
 		Gauge<Long> gauge = value::getAsLong;
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * The metrics behind this, for those who export them.
+	 * Returns the underlying registry, for metric exporters.
 	 * @return the registry
 	 */
 	public MetricRegistry registry() {
--- a/runtime/src/main/java/org/almondmount/telemetry/package-info.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Log lines and metrics.
+ * Structured logging and metrics.
  */
 package org.almondmount.telemetry;
--- a/runtime/src/test/java/org/almondmount/telemetry/ConsoleLogTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/ConsoleLogTests.java
@@ -44,8 +44,8 @@
 		assertThat(this.context.getLogger("org.almondmount").isInfoEnabled()).isTrue();
 	}
 
-	// Standard output may not be read any more. A process that waited for it would stop
-	// deciding, and its callers would hear nothing.
+	// If the reader of standard output stalls, blocking log calls would stop the process
+	// from making decisions and answering its callers.
 	@Test
 	void loggingDoesNotBlockWhenOutputIsNotRead() {
 		Configuration configuration = ConsoleLog.configuration();
--- a/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
@@ -19,7 +19,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The operators' page names every reason that an operator can meet.
+ * Guards against reasons and settings that are missing from the operators' page, as after
+ * a new enum constant or setting without a documentation entry.
  */
 class OperatorsPageTests {
 
