--- a/runtime/src/main/java/org/almondmount/services/impl/HttpTableService.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/HttpTableService.java
@@ -26,7 +26,7 @@
 
 	private static final int NOT_FOUND = 404;
 
-	private static final String RATE_LIMIT_EXCEEDED = "this process's own bound on operations a second is reached";
+	private static final String RATE_LIMIT_EXCEEDED = "this process's own limit of operations per second is reached";
 
 	private final TableExchange exchange;
 
--- a/runtime/src/main/java/org/almondmount/services/impl/Json.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Json.java
@@ -40,7 +40,7 @@
 			return new HttpCall(method, path, HEADERS, MAPPER.writeValueAsBytes(body));
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("a tree of JSON can always be written", ex);
+			throw new IllegalArgumentException("the JSON tree could not be serialized", ex);
 		}
 	}
 
--- a/runtime/src/main/java/org/almondmount/services/impl/TableExchange.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TableExchange.java
@@ -56,10 +56,11 @@
 		}
 		JsonNode body = Json.parseBody(answer);
 		if (answer.status() == TOO_MANY_REQUESTS) {
-			return new Reply.Inconclusive(TableRetryReason.RATE, "the table refused it for its rate");
+			return new Reply.Inconclusive(TableRetryReason.RATE,
+					"the table refused the operation because of its rate limit");
 		}
 		if (answer.status() == SERVICE_UNAVAILABLE && "not-committed".equals(body.path("outcome").asText())) {
-			return new Reply.Inconclusive(TableRetryReason.AWAY, "the table is away");
+			return new Reply.Inconclusive(TableRetryReason.AWAY, "the table is unavailable");
 		}
 		boolean useful = answer.status() < 300 || answer.status() == 404 || answer.status() == CONFLICT;
 		if (!useful || !body.isObject()) {
--- a/runtime/src/main/java/org/almondmount/services/impl/TransactionTokenStore.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/TransactionTokenStore.java
@@ -107,7 +107,7 @@
 		if (CANCELLED.equals(value)) {
 			return cancelledResult();
 		}
-		return new CommitResult.Unknown("the transaction's row is not there");
+		return new CommitResult.Unknown("the transaction's token row does not exist");
 	}
 
 	private static CommitResult cancelledResult() {
--- a/runtime/src/main/java/org/almondmount/settings/impl/Section.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/Section.java
@@ -115,7 +115,7 @@
 		}
 		Optional<Duration> value = Quantity.parseDuration(text.get());
 		if (value.isEmpty()) {
-			addFault(key, quote(text.get()), Quantity.DURATION_FORMAT, "write the unit behind the number");
+			addFault(key, quote(text.get()), Quantity.DURATION_FORMAT, "write the unit after the number");
 			return defaultValue;
 		}
 		if (value.get().compareTo(min) < 0 || value.get().compareTo(max) > 0) {
@@ -131,7 +131,7 @@
 		}
 		Optional<Long> value = Quantity.parseBytes(text.get());
 		if (value.isEmpty()) {
-			addFault(key, quote(text.get()), Quantity.SIZE_FORMAT, "write the unit behind the number");
+			addFault(key, quote(text.get()), Quantity.SIZE_FORMAT, "write the unit after the number");
 			return defaultValue;
 		}
 		if (value.get() < min || value.get() > max) {
@@ -149,7 +149,7 @@
 		}
 		Optional<Long> value = Quantity.parseBytes(text.get());
 		if (value.isEmpty() || value.get() >> 20 > Integer.MAX_VALUE) {
-			addFault(key, quote(text.get()), Quantity.SIZE_FORMAT, "write the unit behind the number");
+			addFault(key, quote(text.get()), Quantity.SIZE_FORMAT, "write the unit after the number");
 			return 0;
 		}
 		return (int) (value.get() >> 20);
@@ -195,7 +195,7 @@
 		Optional<InetSocketAddress> address = parseAddress(text.get());
 		if (address.isEmpty()) {
 			addFault(key, quote(text.get()), "an address as IP:PORT, such as 10.0.0.7:7000",
-					"write the IP number and the port with a colon between");
+					"write the IP address and the port, separated by a colon");
 		}
 		return address.orElse(null);
 	}
@@ -241,7 +241,7 @@
 			return Optional.empty();
 		}
 		if (!child.isValueNode() || child.isNull()) {
-			addFault(key, format(child), "a single value", "write one value behind the colon");
+			addFault(key, format(child), "a single value", "write one value after the colon");
 			return Optional.of("");
 		}
 		return Optional.of(child.asText());
--- a/runtime/src/main/java/org/almondmount/settings/impl/SettingsReader.java
+++ b/runtime/src/main/java/org/almondmount/settings/impl/SettingsReader.java
@@ -112,8 +112,8 @@
 		catch (JsonProcessingException ex) {
 			String place = (ex.getLocation() != null)
 					? "line " + ex.getLocation().getLineNr() + ", column " + ex.getLocation().getColumnNr() : "file";
-			faults.add(new SettingsFault(place, "no YAML: " + firstLine(ex.getOriginalMessage()), "YAML, each key once",
-					"correct the line"));
+			faults.add(new SettingsFault(place, "invalid YAML: " + firstLine(ex.getOriginalMessage()),
+					"YAML, each key once", "correct the line"));
 			return Either.left(faults);
 		}
 		if (root == null || !root.isObject()) {
@@ -218,7 +218,7 @@
 		if (bodyBytes > peer.maxFrameBytes() - FRAME_OVERHEAD_BYTES) {
 			limits.addFault("maxBody", bodyBytes + "B",
 					"at most " + (peer.maxFrameBytes() - FRAME_OVERHEAD_BYTES)
-							+ "B, which is peer.maxFrame without 64KiB for what stands around a body",
+							+ "B, which is peer.maxFrame without 64KiB of overhead for a body",
 					"lower it, or raise peer.maxFrame on entries and targets");
 		}
 	}
@@ -244,7 +244,7 @@
 	}
 
 	private static void reportDuplicateToken(Section section) {
-		section.addFault("token", "a token that stands in the file already", "each token once", "make a new token");
+		section.addFault("token", "a token that is already in the file", "each token once", "make a new token");
 	}
 
 	private static EntrySettings.Timing entryTiming(Section section) {
