--- a/runtime/src/main/java/org/almondmount/services/impl/Backoff.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Backoff.java
@@ -7,29 +7,29 @@
 import org.almondmount.net.IoThreads;
 
 /**
- * Pauses between attempts that double and are spread at random. Thread-safe.
+ * Exponential backoff with jitter between attempts. Thread-safe.
  * <p>
- * Processes that lost the table at the same moment would all come back at the same
- * moment; the spread of half to one and a half pulls them apart.
+ * Processes that lose the table at the same time would otherwise all retry at the same
+ * time. The jitter spreads each pause between 0.5 and 1.5 times its mean.
  */
 final class Backoff {
 
 	private final IoThreads io;
 
-	private final Duration first;
+	private final Duration initialDelay;
 
-	Backoff(IoThreads io, Duration first) {
+	Backoff(IoThreads io, Duration initialDelay) {
 		this.io = io;
-		this.first = first;
+		this.initialDelay = initialDelay;
 	}
 
 	/**
-	 * Does something after the pause that follows an attempt.
+	 * Schedules an action after the pause that follows a failed attempt.
 	 * @param attempt the attempt that failed, from 1
-	 * @param action what to do, on an I/O thread
+	 * @param action the action, called on an I/O thread
 	 */
-	void after(int attempt, Runnable action) {
-		long mean = this.first.toMillis() << (attempt - 1);
+	void scheduleAfterAttempt(int attempt, Runnable action) {
+		long mean = this.initialDelay.toMillis() << (attempt - 1);
 		long pause = mean / 2 + ThreadLocalRandom.current().nextLong(mean + 1);
 		this.io.next().schedule(action, pause, TimeUnit.MILLISECONDS);
 	}
--- a/runtime/src/main/java/org/almondmount/services/impl/Json.java
+++ b/runtime/src/main/java/org/almondmount/services/impl/Json.java
@@ -14,7 +14,7 @@
 import org.almondmount.http.HttpCall;
 
 /**
- * Calls and answers with JSON bodies.
+ * Creates HTTP calls with JSON bodies and parses JSON answers.
  */
 final class Json {
 
@@ -22,17 +22,17 @@
 
 	private static final Map<String, String> HEADERS = Map.of("content-type", "application/json");
 
-	private static final byte[] NOTHING = new byte[0];
+	private static final byte[] EMPTY_BODY = new byte[0];
 
 	private Json() {
 	}
 
-	static ObjectNode object() {
+	static ObjectNode createObject() {
 		return MAPPER.createObjectNode();
 	}
 
 	static HttpCall call(String method, String path) {
-		return new HttpCall(method, path, Map.of(), NOTHING);
+		return new HttpCall(method, path, Map.of(), EMPTY_BODY);
 	}
 
 	static HttpCall call(String method, String path, JsonNode body) {
@@ -40,16 +40,16 @@
 			return new HttpCall(method, path, HEADERS, MAPPER.writeValueAsBytes(body));
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("a tree of JSON can always be written", ex);
+			throw new IllegalArgumentException("the JSON tree could not be serialized", ex);
 		}
 	}
 
 	/**
-	 * The body of an answer.
+	 * Parses the body of an answer.
 	 * @param answer the answer
-	 * @return its tree, or a missing node where the body is no JSON
+	 * @return the JSON tree, or a missing node if the body is not valid JSON
 	 */
-	static JsonNode body(HttpAnswer answer) {
+	static JsonNode parseBody(HttpAnswer answer) {
 		try {
 			JsonNode node = MAPPER.readTree(answer.body());
 			return (node != null) ? node : MissingNode.getInstance();
@@ -59,7 +59,7 @@
 		}
 	}
 
-	static String escape(String text) {
+	static String urlEncode(String text) {
 		return URLEncoder.encode(text, StandardCharsets.UTF_8);
 	}
 
--- a/runtime/src/main/java/org/almondmount/telemetry/MetricsDocument.java
+++ b/runtime/src/main/java/org/almondmount/telemetry/MetricsDocument.java
@@ -14,12 +14,13 @@
 import com.codahale.metrics.Timer;
 
 /**
- * The metrics as one document: counters and gauges as numbers, timers and histograms with
- * their count and quantiles; times in milliseconds. Thread-safe.
+ * Exports the metrics as one document. Counters and gauges are numbers; timers and
+ * histograms have a count, mean, quantiles and maximum. Times are in milliseconds.
+ * Thread-safe.
  */
 public final class MetricsDocument {
 
-	private static final double NANOS_A_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+	private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
 	private final MetricRegistry registry;
 
@@ -28,8 +29,8 @@
 	}
 
 	/**
-	 * Reads all metrics as they are now.
-	 * @return values by name, in the order of the names
+	 * Reads the current values of all metrics.
+	 * @return values by name, sorted by name
 	 */
 	public Map<String, Object> read() {
 		Map<String, Object> document = new TreeMap<>();
@@ -48,14 +49,14 @@
 	}
 
 	private static Map<String, Object> distribution(Metric metric, Snapshot snapshot) {
-		double unit = (metric instanceof Timer) ? NANOS_A_MILLI : 1;
+		double divisor = (metric instanceof Timer) ? NANOS_PER_MILLI : 1;
 		Map<String, Object> values = new LinkedHashMap<>();
 		values.put("count", (metric instanceof Counting counting) ? counting.getCount() : 0);
-		values.put("mean", snapshot.getMean() / unit);
-		values.put("p50", snapshot.getMedian() / unit);
-		values.put("p99", snapshot.get99thPercentile() / unit);
-		values.put("p999", snapshot.get999thPercentile() / unit);
-		values.put("max", snapshot.getMax() / unit);
+		values.put("mean", snapshot.getMean() / divisor);
+		values.put("p50", snapshot.getMedian() / divisor);
+		values.put("p99", snapshot.get99thPercentile() / divisor);
+		values.put("p999", snapshot.get999thPercentile() / divisor);
+		values.put("max", snapshot.getMax() / divisor);
 		return values;
 	}
 
