--- a/daemon/src/main/java/org/almondmount/daemon/entry/calls/RequestShell.java
+++ b/daemon/src/main/java/org/almondmount/daemon/entry/calls/RequestShell.java
@@ -210,7 +210,8 @@
 		}
 		LiveCall call = new LiveCall(request, spec, exchange, arrivedMillis);
 		this.live.put(request, call);
-		exchange.onCallerGone(() -> this.parts.mailbox.deliver(() -> feed(new RequestEvent.CallerGone(request))));
+		exchange
+			.onCallerDisconnected(() -> this.parts.mailbox.deliver(() -> feed(new RequestEvent.CallerGone(request))));
 		feed(new RequestEvent.Arrived(request, spec.customer(), spec.idempotent(), spec.key(),
 				arrivedMillis + spec.deadline().toMillis()));
 	}
--- a/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
+++ b/fleet/src/main/java/org/almondmount/fleet/entry/TargetLinks.java
@@ -102,8 +102,8 @@
 	private void sendHolder(PeerConnection connection) {
 		connection.send(new Message.EntryHeartbeat(0, 0, this.holderEpoch, this.holderEpoch != 0));
 		if (this.holderEpoch == 0 && this.otherHolder != null) {
-			connection.send(new Message.HolderAnnouncement(new EntryId(this.otherHolder.holder()), this.otherHolder.epoch(),
-					this.otherHolder.address()));
+			connection.send(new Message.HolderAnnouncement(new EntryId(this.otherHolder.holder()),
+					this.otherHolder.epoch(), this.otherHolder.address()));
 		}
 	}
 
--- a/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
+++ b/fleet/src/test/java/org/almondmount/fleet/sim/SimWorker.java
@@ -184,7 +184,8 @@
 	@Override
 	public CompletableFuture<WorkerEvent> poll(WorkerCommand.Poll poll) {
 		CompletableFuture<WorkerEvent> answer = new CompletableFuture<>();
-		boolean addressesOther = !poll.incarnation().worker().isEmpty() && !poll.incarnation().worker().equals(this.name);
+		boolean addressesOther = !poll.incarnation().worker().isEmpty()
+				&& !poll.incarnation().worker().equals(this.name);
 		if (isUnavailable()) {
 			this.clock.scheduleAfter(1,
 					() -> answer.complete(new WorkerEvent.PollFailed(poll.pollNumber(), "connection refused")));
--- a/runtime/src/main/java/org/almondmount/http/CutReason.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpCloseReason.java
@@ -3,7 +3,7 @@
 /**
  * Every reason for which an HTTP server ends a connection on its own; each has a counter.
  */
-public enum CutReason {
+public enum HttpCloseReason {
 
 	/** The connection count is at its limit. */
 	TOO_MANY_CONNECTIONS,
--- a/runtime/src/main/java/org/almondmount/http/HttpExchange.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpExchange.java
@@ -21,6 +21,6 @@
 	 * Has something done when the caller closes its connection before the answer.
 	 * @param action what to do, on an I/O thread
 	 */
-	void onCallerGone(Runnable action);
+	void onCallerDisconnected(Runnable action);
 
 }
--- a/runtime/src/main/java/org/almondmount/http/HttpServer.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpServer.java
@@ -19,7 +19,7 @@
 	 * Open connections now.
 	 * @return a count
 	 */
-	int connections();
+	int connectionCount();
 
 	/**
 	 * Ends gracefully: every answer from now on carries {@code connection: close}; after
--- a/runtime/src/main/java/org/almondmount/http/Problem.java
+++ b/runtime/src/main/java/org/almondmount/http/Problem.java
@@ -46,7 +46,7 @@
 		Map<String, String> headers = new LinkedHashMap<>();
 		headers.put("content-type", MEDIA_TYPE);
 		if (!refusal.retryAfter().isZero()) {
-			headers.put("retry-after", Long.toString(wholeSeconds(refusal.retryAfter())));
+			headers.put("retry-after", Long.toString(roundUpToSeconds(refusal.retryAfter())));
 		}
 		return new HttpAnswer(refusal.reason().status(), headers, document(refusal, identifiers));
 	}
@@ -70,8 +70,8 @@
 		}
 	}
 
-	private static long wholeSeconds(Duration time) {
-		return Math.max(1, (time.toMillis() + 999) / 1_000);
+	private static long roundUpToSeconds(Duration duration) {
+		return Math.max(1, (duration.toMillis() + 999) / 1_000);
 	}
 
 }
--- a/runtime/src/main/java/org/almondmount/http/impl/BoundedAggregator.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/BoundedAggregator.java
@@ -14,9 +14,9 @@
 /**
  * Gathers whole messages up to a bound.
  * <p>
- * A message over the bound is reported as {@link TooLarge}. A response that neither tells
- * its length nor is chunked ends where the connection ends; a cut one would look whole,
- * so it is reported as {@link NoLength}.
+ * A message over the bound is reported as {@link MessageTooLarge}. A response that
+ * neither tells its length nor is chunked ends where the connection ends; a cut one would
+ * look whole, so it is reported as {@link MissingLengthException}.
  */
 final class BoundedAggregator extends HttpObjectAggregator {
 
@@ -26,8 +26,8 @@
 
 	@Override
 	protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
-		if (start instanceof HttpResponse response && endsWithConnection(response)) {
-			throw new NoLength();
+		if (start instanceof HttpResponse response && isDelimitedByClose(response)) {
+			throw new MissingLengthException();
 		}
 		return super.beginAggregation(start, content);
 	}
@@ -47,20 +47,20 @@
 
 	@Override
 	protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-		ctx.fireUserEventTriggered(TooLarge.INSTANCE);
+		ctx.fireUserEventTriggered(MessageTooLarge.INSTANCE);
 	}
 
-	private static boolean endsWithConnection(HttpResponse response) {
+	private static boolean isDelimitedByClose(HttpResponse response) {
 		HttpResponseStatus status = response.status();
-		boolean without = status.code() == HttpResponseStatus.NO_CONTENT.code()
+		boolean hasNoBody = status.code() == HttpResponseStatus.NO_CONTENT.code()
 				|| status.code() == HttpResponseStatus.NOT_MODIFIED.code();
-		return !without && !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
+		return !hasNoBody && !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
 	}
 
 	/**
 	 * A message was over the bound.
 	 */
-	enum TooLarge {
+	enum MessageTooLarge {
 
 		/** The only one. */
 		INSTANCE
@@ -70,11 +70,11 @@
 	/**
 	 * A response's end cannot be told from a cut.
 	 */
-	static final class NoLength extends Exception {
+	static final class MissingLengthException extends Exception {
 
 		private static final long serialVersionUID = 1L;
 
-		NoLength() {
+		MissingLengthException() {
 			super("the answer tells no length, so a cut could not be noticed");
 		}
 
--- a/runtime/src/main/java/org/almondmount/http/impl/ClientCall.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ClientCall.java
@@ -29,9 +29,9 @@
 		this.answer = answer;
 	}
 
-	void timer(ScheduledFuture<?> started) {
-		this.timer = started;
-		this.answer.whenComplete((given, failure) -> started.cancel(false));
+	void timer(ScheduledFuture<?> timeoutTimer) {
+		this.timer = timeoutTimer;
+		this.answer.whenComplete((given, failure) -> timeoutTimer.cancel(false));
 	}
 
 	boolean isDone() {
@@ -45,11 +45,11 @@
 	/**
 	 * Marks it as sent and hands out the request; from now on the server may have seen
 	 * it.
-	 * @param on the connection that carries it
+	 * @param carrier the connection that carries it
 	 * @return the request
 	 */
-	FullHttpRequest sendOn(Channel on) {
-		this.channel = on;
+	FullHttpRequest markSent(Channel carrier) {
+		this.channel = carrier;
 		return this.request;
 	}
 
@@ -57,8 +57,8 @@
 		this.answer.complete(given);
 	}
 
-	void fail(String why) {
-		this.answer.completeExceptionally(new HttpFailure(this.server, why, this.channel != null));
+	void fail(String reason) {
+		this.answer.completeExceptionally(new HttpFailure(this.server, reason, this.channel != null));
 	}
 
 	/**
--- a/runtime/src/main/java/org/almondmount/http/impl/ClientConnection.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ClientConnection.java
@@ -19,20 +19,20 @@
 
 	private ClientCall current;
 
-	private int uses;
+	private int useCount;
 
 	ClientConnection(ConnectionPool pool) {
 		this.pool = pool;
 	}
 
-	int uses() {
-		return this.uses;
+	int useCount() {
+		return this.useCount;
 	}
 
 	void send(ClientCall call) {
-		this.uses++;
+		this.useCount++;
 		this.current = call;
-		this.context.writeAndFlush(call.sendOn(this.context.channel())).addListener((written) -> {
+		this.context.writeAndFlush(call.markSent(this.context.channel())).addListener((written) -> {
 			if (!written.isSuccess()) {
 				this.context.close();
 			}
@@ -51,7 +51,7 @@
 
 	@Override
 	public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-		if (event == BoundedAggregator.TooLarge.INSTANCE) {
+		if (event == BoundedAggregator.MessageTooLarge.INSTANCE) {
 			failCurrent("the answer is larger than allowed");
 			ctx.close();
 			return;
@@ -89,9 +89,9 @@
 		this.pool.release(ctx.channel());
 	}
 
-	private void failCurrent(String why) {
+	private void failCurrent(String reason) {
 		if (this.current != null) {
-			this.current.fail(why);
+			this.current.fail(reason);
 			this.current = null;
 		}
 	}
--- a/runtime/src/main/java/org/almondmount/http/impl/ConnectionPool.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ConnectionPool.java
@@ -23,11 +23,11 @@
  */
 final class ConnectionPool {
 
-	private static final int MOST_WAITING = 4_096;
+	private static final int MAX_WAITING_CALLS = 4_096;
 
 	// Below the time after which servers close idle connections, so that a call is rarely
 	// sent on one that is just being closed: its ending would be unknown.
-	private static final Duration LONGEST_IDLE = Duration.ofSeconds(4);
+	private static final Duration MAX_IDLE = Duration.ofSeconds(4);
 
 	private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
 
@@ -36,7 +36,7 @@
 	 * network sends its first packet again only after a second. Calls that come later get
 	 * an attempt of their own, or a server that is back would go unnoticed for so long.
 	 */
-	private static final long USUAL_CONNECT_MILLIS = 300;
+	private static final long EXPECTED_CONNECT_MILLIS = 300;
 
 	private final EventLoop loop;
 
@@ -46,14 +46,14 @@
 
 	private final int maxAnswerBytes;
 
-	private final Deque<Channel> idle = new ArrayDeque<>();
+	private final Deque<Channel> idleConnections = new ArrayDeque<>();
 
-	private final Deque<ClientCall> waiting = new ArrayDeque<>();
+	private final Deque<ClientCall> waitingCalls = new ArrayDeque<>();
 
-	private final Set<Channel> open = new HashSet<>();
+	private final Set<Channel> openConnections = new HashSet<>();
 
 	/** Attempts to connect by the time at which each began, the oldest first. */
-	private final Deque<Long> connecting = new ArrayDeque<>();
+	private final Deque<Long> connectStartNanos = new ArrayDeque<>();
 
 	ConnectionPool(EventLoop loop, InetSocketAddress server, int maxConnections, int maxAnswerBytes) {
 		this.loop = loop;
@@ -62,25 +62,25 @@
 		this.maxAnswerBytes = maxAnswerBytes;
 	}
 
-	void start(ClientCall call, Duration timeout) {
-		call.timer(this.loop.schedule(() -> timedOut(call), timeout.toMillis(), TimeUnit.MILLISECONDS));
+	void submit(ClientCall call, Duration timeout) {
+		call.timer(this.loop.schedule(() -> onTimeout(call), timeout.toMillis(), TimeUnit.MILLISECONDS));
 		call.answer().whenComplete((answer, failure) -> {
 			if (call.answer().isCancelled()) {
 				this.loop.execute(call::abandon);
 			}
 		});
-		if (this.waiting.size() >= MOST_WAITING) {
+		if (this.waitingCalls.size() >= MAX_WAITING_CALLS) {
 			call.fail("too many calls wait for a connection; slow down");
 			return;
 		}
-		this.waiting.add(call);
-		next();
+		this.waitingCalls.add(call);
+		dispatch();
 	}
 
 	void close() {
-		this.waiting.forEach((call) -> call.fail("the client was closed"));
-		this.waiting.clear();
-		Set.copyOf(this.open).forEach(Channel::close);
+		this.waitingCalls.forEach((call) -> call.fail("the client was closed"));
+		this.waitingCalls.clear();
+		Set.copyOf(this.openConnections).forEach(Channel::close);
 	}
 
 	/**
@@ -88,46 +88,46 @@
 	 * @param channel the connection
 	 */
 	void release(Channel channel) {
-		this.idle.push(channel);
-		next();
-		if (this.idle.contains(channel)) {
-			closeWhenIdle(channel);
+		this.idleConnections.push(channel);
+		dispatch();
+		if (this.idleConnections.contains(channel)) {
+			scheduleIdleClose(channel);
 		}
 	}
 
-	private void timedOut(ClientCall call) {
+	private void onTimeout(ClientCall call) {
 		call.fail("no whole answer in time");
 		call.abandon();
 	}
 
-	private void next() {
-		dropDone();
-		while (!this.waiting.isEmpty()) {
-			Channel channel = takeIdle();
+	private void dispatch() {
+		removeCompletedCalls();
+		while (!this.waitingCalls.isEmpty()) {
+			Channel channel = pollIdleConnection();
 			if (channel == null) {
 				break;
 			}
-			send(this.waiting.poll(), channel);
-			dropDone();
+			send(this.waitingCalls.poll(), channel);
+			removeCompletedCalls();
 		}
-		while (this.waiting.size() > promisingAttempts()
-				&& this.open.size() + this.connecting.size() < this.maxConnections) {
+		while (this.waitingCalls.size() > recentConnectAttempts()
+				&& this.openConnections.size() + this.connectStartNanos.size() < this.maxConnections) {
 			connect();
 		}
 	}
 
-	private long promisingAttempts() {
-		long since = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(USUAL_CONNECT_MILLIS);
-		return this.connecting.stream().filter((began) -> began - since >= 0).count();
+	private long recentConnectAttempts() {
+		long earliestStartNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(EXPECTED_CONNECT_MILLIS);
+		return this.connectStartNanos.stream().filter((startNanos) -> startNanos - earliestStartNanos >= 0).count();
 	}
 
-	private void dropDone() {
-		this.waiting.removeIf(ClientCall::isDone);
+	private void removeCompletedCalls() {
+		this.waitingCalls.removeIf(ClientCall::isDone);
 	}
 
-	private Channel takeIdle() {
-		while (!this.idle.isEmpty()) {
-			Channel channel = this.idle.pop();
+	private Channel pollIdleConnection() {
+		while (!this.idleConnections.isEmpty()) {
+			Channel channel = this.idleConnections.pop();
 			if (channel.isActive()) {
 				return channel;
 			}
@@ -139,64 +139,64 @@
 		channel.pipeline().get(ClientConnection.class).send(call);
 	}
 
-	private void closeWhenIdle(Channel channel) {
+	private void scheduleIdleClose(Channel channel) {
 		ClientConnection connection = channel.pipeline().get(ClientConnection.class);
 		if (connection == null) {
 			return;
 		}
-		int uses = connection.uses();
+		int useCount = connection.useCount();
 		this.loop.schedule(() -> {
-			if (connection.uses() == uses) {
+			if (connection.useCount() == useCount) {
 				channel.close();
 			}
-		}, LONGEST_IDLE.toMillis(), TimeUnit.MILLISECONDS);
+		}, MAX_IDLE.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	private void connect() {
-		Long began = System.nanoTime();
-		this.connecting.add(began);
+		Long startNanos = System.nanoTime();
+		this.connectStartNanos.add(startNanos);
 		ChannelFuture connected = new Bootstrap().group(this.loop)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-			.handler(new Setup())
+			.handler(new ConnectionInitializer())
 			.connect(this.server);
 		connected.addListener((done) -> {
-			this.connecting.removeFirstOccurrence(began);
+			this.connectStartNanos.removeFirstOccurrence(startNanos);
 			if (done.isSuccess()) {
-				opened(connected.channel());
+				onConnected(connected.channel());
 			}
 			else {
-				connectFailed(done.cause());
+				onConnectFailed(done.cause());
 			}
 		});
 	}
 
-	private void opened(Channel channel) {
-		this.open.add(channel);
+	private void onConnected(Channel channel) {
+		this.openConnections.add(channel);
 		channel.closeFuture().addListener((closed) -> {
-			this.open.remove(channel);
-			this.idle.remove(channel);
-			next();
+			this.openConnections.remove(channel);
+			this.idleConnections.remove(channel);
+			dispatch();
 		});
 		release(channel);
 	}
 
 	// One failed attempt fails one call: those behind it get an attempt of their own, so
 	// none waits for a server that is gone longer than its own attempt takes.
-	private void connectFailed(Throwable cause) {
-		dropDone();
-		ClientCall call = this.waiting.poll();
+	private void onConnectFailed(Throwable cause) {
+		removeCompletedCalls();
+		ClientCall call = this.waitingCalls.poll();
 		if (call != null) {
 			call.fail("no connection: " + cause.getMessage());
 		}
-		next();
+		dispatch();
 	}
 
 	/**
 	 * Sets up a connection.
 	 */
-	private final class Setup extends ChannelInitializer<SocketChannel> {
+	private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
 		@Override
 		protected void initChannel(SocketChannel channel) {
--- a/runtime/src/main/java/org/almondmount/http/impl/HeaderMapping.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/HeaderMapping.java
@@ -16,7 +16,7 @@
  */
 final class HeaderMapping {
 
-	private static final Set<String> OF_ONE_CONNECTION = Set.of("connection", "keep-alive", "proxy-connection",
+	private static final Set<String> CONNECTION_HEADERS = Set.of("connection", "keep-alive", "proxy-connection",
 			"transfer-encoding", "content-length", "te", "trailer", "upgrade", "expect");
 
 	/** Read by servers that serve several hosts; a client sets its own. */
@@ -29,8 +29,8 @@
 		Map<String, String> map = new LinkedHashMap<>();
 		for (Map.Entry<String, String> header : headers) {
 			String name = header.getKey().toLowerCase(Locale.ROOT);
-			if (!OF_ONE_CONNECTION.contains(name)) {
-				map.merge(name, header.getValue(), (one, other) -> one + ", " + other);
+			if (!CONNECTION_HEADERS.contains(name)) {
+				map.merge(name, header.getValue(), (first, second) -> first + ", " + second);
 			}
 		}
 		return map;
@@ -39,7 +39,7 @@
 	static void copy(Map<String, String> from, HttpHeaders to) {
 		for (Map.Entry<String, String> header : from.entrySet()) {
 			String name = header.getKey().toLowerCase(Locale.ROOT);
-			if (!OF_ONE_CONNECTION.contains(name) && !name.equals(HOST)) {
+			if (!CONNECTION_HEADERS.contains(name) && !name.equals(HOST)) {
 				to.set(name, header.getValue());
 			}
 		}
--- a/runtime/src/main/java/org/almondmount/http/impl/HttpServerConnection.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/HttpServerConnection.java
@@ -23,9 +23,9 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
 import io.netty.handler.codec.http.TooLongHttpLineException;
-import org.almondmount.http.CutReason;
 import org.almondmount.http.HttpAnswer;
 import org.almondmount.http.HttpCall;
+import org.almondmount.http.HttpCloseReason;
 import org.almondmount.http.Problem;
 import org.almondmount.model.Refusal;
 import org.almondmount.model.RefusalReason;
@@ -38,21 +38,21 @@
 	/** Closes the connection unless a call is being worked on. */
 	static final Object CLOSE_IF_IDLE = new Object();
 
-	private static final int MOST_PIPELINED = 16;
+	private static final int MAX_PIPELINED_CALLS = 16;
 
-	private static final long LAST_READ_MILLIS = 1_000;
+	private static final long HALF_CLOSE_MILLIS = 1_000;
 
 	private final NettyHttpServer server;
 
 	private final SocketChannel channel;
 
-	private final Deque<ServerExchange> waiting = new ArrayDeque<>();
+	private final Deque<ServerExchange> pendingExchanges = new ArrayDeque<>();
 
-	private boolean callBegun;
+	private boolean callStarted;
 
 	private boolean closing;
 
-	private boolean lastWasCut;
+	private boolean refused;
 
 	private ScheduledFuture<?> timer;
 
@@ -65,12 +65,12 @@
 	 * Notices the first bytes of a call, before the codec has made anything of them.
 	 * @return the handler that stands before the codec
 	 */
-	ChannelHandler firstBytes() {
+	ChannelHandler firstBytesHandler() {
 		return new ChannelInboundHandlerAdapter() {
 
 			@Override
 			public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-				bytesArrived();
+				onBytesReceived();
 				super.channelRead(ctx, bytes);
 			}
 
@@ -86,10 +86,11 @@
 		}
 	}
 
-	void writeReady() {
+	void writeReadyAnswers() {
 		boolean wrote = false;
-		while (!this.waiting.isEmpty() && this.waiting.peek().readyAnswer() != null && !this.closing) {
-			write(this.waiting.poll());
+		while (!this.pendingExchanges.isEmpty() && this.pendingExchanges.peek().readyAnswer() != null
+				&& !this.closing) {
+			write(this.pendingExchanges.poll());
 			wrote = true;
 		}
 		if (!wrote) {
@@ -99,8 +100,8 @@
 		if (this.closing) {
 			return;
 		}
-		this.channel.config().setAutoRead(this.waiting.size() < MOST_PIPELINED);
-		if (this.waiting.isEmpty()) {
+		this.channel.config().setAutoRead(this.pendingExchanges.size() < MAX_PIPELINED_CALLS);
+		if (this.pendingExchanges.isEmpty()) {
 			startTimer();
 		}
 	}
@@ -114,20 +115,20 @@
 	public void channelInactive(ChannelHandlerContext ctx) {
 		this.closing = true;
 		stopTimer();
-		while (!this.waiting.isEmpty()) {
-			this.waiting.poll().callerGone();
+		while (!this.pendingExchanges.isEmpty()) {
+			this.pendingExchanges.poll().onDisconnected();
 		}
 	}
 
 	@Override
 	public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
 		if (event == CLOSE_IF_IDLE) {
-			if (this.waiting.isEmpty() && !this.callBegun) {
+			if (this.pendingExchanges.isEmpty() && !this.callStarted) {
 				ctx.close();
 			}
 		}
-		else if (event == BoundedAggregator.TooLarge.INSTANCE) {
-			cut(CutReason.TOO_LARGE, refusal(RefusalReason.TOO_LARGE,
+		else if (event == BoundedAggregator.MessageTooLarge.INSTANCE) {
+			refuseAndClose(HttpCloseReason.TOO_LARGE, refusal(RefusalReason.TOO_LARGE,
 					"the body is over " + this.server.limits().maxBodyBytes() + " bytes"));
 		}
 		else {
@@ -142,38 +143,40 @@
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-		if (this.closing || this.lastWasCut) {
+		if (this.closing || this.refused) {
 			return;
 		}
-		this.callBegun = false;
+		this.callStarted = false;
 		stopTimer();
 		if (request.decoderResult().isFailure()) {
-			refuseJunk(request.decoderResult().cause());
+			refuseUndecodable(request.decoderResult().cause());
 			return;
 		}
 		HttpCall call = new HttpCall(request.method().name(), request.uri(), HeaderMapping.toMap(request.headers()),
 				ByteBufUtil.getBytes(request.content()));
 		ServerExchange exchange = new ServerExchange(this, call, HttpUtil.isKeepAlive(request));
-		this.waiting.add(exchange);
-		if (this.waiting.size() >= MOST_PIPELINED) {
+		this.pendingExchanges.add(exchange);
+		if (this.pendingExchanges.size() >= MAX_PIPELINED_CALLS) {
 			this.channel.config().setAutoRead(false);
 		}
 		this.server.handler().handle(exchange);
 	}
 
-	private void bytesArrived() {
-		if (!this.callBegun && !this.lastWasCut) {
-			this.callBegun = true;
+	private void onBytesReceived() {
+		if (!this.callStarted && !this.refused) {
+			this.callStarted = true;
 			startTimer();
 		}
 	}
 
-	private void refuseJunk(Throwable cause) {
+	private void refuseUndecodable(Throwable cause) {
 		if (cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException) {
-			cut(CutReason.TOO_LARGE, refusal(RefusalReason.TOO_LARGE, "the headers or the path are over their bound"));
+			refuseAndClose(HttpCloseReason.TOO_LARGE,
+					refusal(RefusalReason.TOO_LARGE, "the headers or the path are over their bound"));
 			return;
 		}
-		cut(CutReason.JUNK, refusal(RefusalReason.INVALID, "the call is no HTTP/1.1: " + cause.getMessage()));
+		refuseAndClose(HttpCloseReason.JUNK,
+				refusal(RefusalReason.INVALID, "the call is no HTTP/1.1: " + cause.getMessage()));
 	}
 
 	private static Refusal refusal(RefusalReason reason, String detail) {
@@ -182,17 +185,17 @@
 
 	// Calls that came before the faulty one are still owed their answers, in order; the
 	// refusal takes the last place and what comes after it is thrown away.
-	private void cut(CutReason reason, Refusal refusal) {
-		this.server.cut(reason);
-		this.lastWasCut = true;
+	private void refuseAndClose(HttpCloseReason reason, Refusal refusal) {
+		this.server.countClose(reason);
+		this.refused = true;
 		ServerExchange exchange = new ServerExchange(this, null, false);
-		this.waiting.add(exchange);
+		this.pendingExchanges.add(exchange);
 		exchange.answer(Problem.answer(refusal));
 	}
 
 	private void write(ServerExchange exchange) {
 		boolean keepAlive = exchange.keepAlive() && !this.server.isDraining();
-		FullHttpResponse response = response(exchange.readyAnswer());
+		FullHttpResponse response = toNettyResponse(exchange.readyAnswer());
 		response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
 		if (keepAlive) {
 			this.channel.write(response);
@@ -200,10 +203,10 @@
 		}
 		this.closing = true;
 		response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-		boolean faulty = exchange.call() == null;
+		boolean isRefusal = exchange.call() == null;
 		this.channel.write(response).addListener((written) -> {
-			if (faulty && written.isSuccess()) {
-				closeLater();
+			if (isRefusal && written.isSuccess()) {
+				halfClose();
 			}
 			else {
 				this.channel.close();
@@ -215,12 +218,12 @@
 	// reset takes the refusal away before the caller has read it. So only this side's
 	// half is closed at first; the rest follows when the caller closes, or after a
 	// moment.
-	private void closeLater() {
+	private void halfClose() {
 		this.channel.shutdownOutput();
-		this.channel.eventLoop().schedule(() -> this.channel.close(), LAST_READ_MILLIS, TimeUnit.MILLISECONDS);
+		this.channel.eventLoop().schedule(() -> this.channel.close(), HALF_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private static FullHttpResponse response(HttpAnswer answer) {
+	private static FullHttpResponse toNettyResponse(HttpAnswer answer) {
 		ByteBuf body = Unpooled.wrappedBuffer(answer.body());
 		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				HttpResponseStatus.valueOf(answer.status()), body);
@@ -230,21 +233,21 @@
 		}
 		catch (IllegalArgumentException ex) {
 			Refusal refusal = Refusal.mayHaveRun(RefusalReason.BAD_ANSWER, "a header of the answer is no HTTP");
-			return response(Problem.answer(refusal));
+			return toNettyResponse(Problem.answer(refusal));
 		}
 	}
 
 	private void startTimer() {
 		stopTimer();
-		if (!this.waiting.isEmpty() || this.closing) {
+		if (!this.pendingExchanges.isEmpty() || this.closing) {
 			return;
 		}
-		if (this.server.isDraining() && !this.server.isLingering() && !this.callBegun) {
+		if (this.server.isDraining() && !this.server.isLingering() && !this.callStarted) {
 			this.channel.close();
 			return;
 		}
 		long millis = this.server.limits().readTimeout().toMillis();
-		this.timer = this.channel.eventLoop().schedule(this::timedOut, millis, TimeUnit.MILLISECONDS);
+		this.timer = this.channel.eventLoop().schedule(this::onReadTimeout, millis, TimeUnit.MILLISECONDS);
 	}
 
 	private void stopTimer() {
@@ -254,8 +257,8 @@
 		}
 	}
 
-	private void timedOut() {
-		this.server.cut((this.callBegun) ? CutReason.SLOW_CALLER : CutReason.IDLE);
+	private void onReadTimeout() {
+		this.server.countClose((this.callStarted) ? HttpCloseReason.SLOW_CALLER : HttpCloseReason.IDLE);
 		this.channel.close();
 	}
 
--- a/runtime/src/main/java/org/almondmount/http/impl/NettyHttpClient.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/NettyHttpClient.java
@@ -54,23 +54,24 @@
 	 */
 	@Override
 	public CompletableFuture<HttpAnswer> send(InetSocketAddress server, HttpCall call, Duration timeout) {
-		String place = NetUtil.toSocketAddressString(server);
+		String hostAndPort = NetUtil.toSocketAddressString(server);
 		CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
 		if (this.closed) {
-			answer.completeExceptionally(new HttpFailure(place, "the client is closed", false));
+			answer.completeExceptionally(new HttpFailure(hostAndPort, "the client is closed", false));
 			return answer;
 		}
 		FullHttpRequest request;
 		try {
-			request = request(place, call);
+			request = toNettyRequest(hostAndPort, call);
 		}
 		catch (IllegalArgumentException ex) {
-			answer.completeExceptionally(new HttpFailure(place, "the call is no HTTP: " + ex.getMessage(), false));
+			answer
+				.completeExceptionally(new HttpFailure(hostAndPort, "the call is no HTTP: " + ex.getMessage(), false));
 			return answer;
 		}
-		ClientCall pending = new ClientCall(place, request, answer);
+		ClientCall pending = new ClientCall(hostAndPort, request, answer);
 		try {
-			this.loop.execute(() -> pool(server).start(pending, timeout));
+			this.loop.execute(() -> pool(server).submit(pending, timeout));
 		}
 		catch (RejectedExecutionException ex) {
 			pending.fail("the process is shutting down");
@@ -91,11 +92,11 @@
 				(address) -> new ConnectionPool(this.loop, address, this.maxPerServer, this.maxAnswerBytes));
 	}
 
-	private static FullHttpRequest request(String place, HttpCall call) {
+	private static FullHttpRequest toNettyRequest(String hostAndPort, HttpCall call) {
 		FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(call.method()),
 				call.path(), Unpooled.wrappedBuffer(call.body()));
 		HeaderMapping.copy(call.headers(), request.headers());
-		request.headers().set(HttpHeaderNames.HOST, place);
+		request.headers().set(HttpHeaderNames.HOST, hostAndPort);
 		request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
 		return request;
 	}
--- a/runtime/src/main/java/org/almondmount/http/impl/NettyHttpServer.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/NettyHttpServer.java
@@ -21,7 +21,7 @@
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.util.concurrent.GlobalEventExecutor;
-import org.almondmount.http.CutReason;
+import org.almondmount.http.HttpCloseReason;
 import org.almondmount.http.HttpHandler;
 import org.almondmount.http.HttpLimits;
 import org.almondmount.http.HttpServer;
@@ -35,12 +35,12 @@
  */
 public final class NettyHttpServer implements HttpServer {
 
-	/** The family of counters for {@link CutReason}. */
-	public static final String CUT = "http.cut";
+	/** The family of counters for {@link HttpCloseReason}. */
+	public static final String CLOSE_COUNTERS = "http.cut";
 
 	private static final int BACKLOG = 1_024;
 
-	private static final int LONGEST_LINE = 8 << 10;
+	private static final int MAX_INITIAL_LINE_BYTES = 8 << 10;
 
 	private final IoThreads io;
 
@@ -52,7 +52,7 @@
 
 	private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
 
-	private final AtomicBoolean clean = new AtomicBoolean(true);
+	private final AtomicBoolean cleanDrain = new AtomicBoolean(true);
 
 	private volatile boolean draining;
 
@@ -65,7 +65,7 @@
 		this.limits = limits;
 		this.handler = handler;
 		this.telemetry = telemetry;
-		telemetry.declare(CUT, CutReason.class);
+		telemetry.declare(CLOSE_COUNTERS, HttpCloseReason.class);
 	}
 
 	/**
@@ -94,7 +94,7 @@
 	 * {@link #start(IoThreads, ServerSocketChannel, HttpLimits, HttpHandler, Telemetry)}
 	 * @throws IOException where the address can't be bound
 	 */
-	public static ServerSocketChannel listenEarly(InetSocketAddress address) throws IOException {
+	public static ServerSocketChannel openListeningSocket(InetSocketAddress address) throws IOException {
 		ServerSocketChannel socket = ServerSocketChannel.open();
 		socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
 		return socket.bind(address, BACKLOG);
@@ -112,7 +112,8 @@
 	public static CompletableFuture<HttpServer> start(IoThreads io, ServerSocketChannel socket, HttpLimits limits,
 			HttpHandler handler, Telemetry telemetry) {
 		NettyHttpServer server = new NettyHttpServer(io, limits, handler, telemetry);
-		return server.started(server.bootstrap().channelFactory(() -> new NioServerSocketChannel(socket)).register());
+		return server
+			.toServerFuture(server.bootstrap().channelFactory(() -> new NioServerSocketChannel(socket)).register());
 	}
 
 	@Override
@@ -121,7 +122,7 @@
 	}
 
 	@Override
-	public int connections() {
+	public int connectionCount() {
 		return this.connections.size();
 	}
 
@@ -130,8 +131,8 @@
 		CompletableFuture<Boolean> done = new CompletableFuture<>();
 		this.draining = true;
 		this.lingering = true;
-		this.io.next().schedule(() -> afterLinger(done), linger.toMillis(), TimeUnit.MILLISECONDS);
-		this.io.next().schedule(() -> atDeadline(done), deadline.toMillis(), TimeUnit.MILLISECONDS);
+		this.io.next().schedule(() -> onLingerEnd(done), linger.toMillis(), TimeUnit.MILLISECONDS);
+		this.io.next().schedule(() -> onDrainDeadline(done), deadline.toMillis(), TimeUnit.MILLISECONDS);
 		return done;
 	}
 
@@ -158,12 +159,12 @@
 		return this.handler;
 	}
 
-	void cut(CutReason reason) {
-		this.telemetry.count(CUT, reason);
+	void countClose(HttpCloseReason reason) {
+		this.telemetry.count(CLOSE_COUNTERS, reason);
 	}
 
 	private CompletableFuture<HttpServer> bind(InetSocketAddress address) {
-		return started(bootstrap().channel(NioServerSocketChannel.class)
+		return toServerFuture(bootstrap().channel(NioServerSocketChannel.class)
 			.option(ChannelOption.SO_BACKLOG, BACKLOG)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.bind(address));
@@ -172,10 +173,10 @@
 	private ServerBootstrap bootstrap() {
 		return new ServerBootstrap().group(this.io.group())
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.childHandler(new Connections());
+			.childHandler(new ConnectionInitializer());
 	}
 
-	private CompletableFuture<HttpServer> started(ChannelFuture binding) {
+	private CompletableFuture<HttpServer> toServerFuture(ChannelFuture binding) {
 		CompletableFuture<HttpServer> bound = new CompletableFuture<>();
 		binding.addListener((done) -> {
 			if (!done.isSuccess()) {
@@ -188,49 +189,49 @@
 		return bound;
 	}
 
-	private void afterLinger(CompletableFuture<Boolean> done) {
+	private void onLingerEnd(CompletableFuture<Boolean> done) {
 		this.lingering = false;
 		this.listener.close();
 		for (Channel connection : this.connections) {
 			connection.pipeline().fireUserEventTriggered(HttpServerConnection.CLOSE_IF_IDLE);
 		}
-		this.connections.newCloseFuture().addListener((closed) -> done.complete(this.clean.get()));
+		this.connections.newCloseFuture().addListener((closed) -> done.complete(this.cleanDrain.get()));
 	}
 
-	private void atDeadline(CompletableFuture<Boolean> done) {
+	private void onDrainDeadline(CompletableFuture<Boolean> done) {
 		if (done.isDone()) {
 			return;
 		}
 		this.lingering = false;
 		this.listener.close();
 		for (Channel connection : this.connections) {
-			cut(CutReason.DRAIN_DEADLINE);
-			this.clean.set(false);
+			countClose(HttpCloseReason.DRAIN_DEADLINE);
+			this.cleanDrain.set(false);
 			connection.close();
 		}
-		this.connections.newCloseFuture().addListener((closed) -> done.complete(this.clean.get()));
+		this.connections.newCloseFuture().addListener((closed) -> done.complete(this.cleanDrain.get()));
 	}
 
 	/**
 	 * Sets up each accepted connection.
 	 */
-	private final class Connections extends ChannelInitializer<SocketChannel> {
+	private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
 		@Override
 		protected void initChannel(SocketChannel channel) {
 			NettyHttpServer server = NettyHttpServer.this;
 			if (server.connections.size() >= server.limits.maxConnections()) {
-				server.cut(CutReason.TOO_MANY_CONNECTIONS);
+				server.countClose(HttpCloseReason.TOO_MANY_CONNECTIONS);
 				channel.close();
 				return;
 			}
 			server.connections.add(channel);
-			HttpDecoderConfig config = new HttpDecoderConfig().setMaxInitialLineLength(LONGEST_LINE)
+			HttpDecoderConfig config = new HttpDecoderConfig().setMaxInitialLineLength(MAX_INITIAL_LINE_BYTES)
 				.setMaxHeaderSize(server.limits.maxHeaderBytes());
 			HttpServerConnection connection = new HttpServerConnection(server, channel);
 			channel.pipeline()
-				.addLast(new WholeWriteTimeout(server, server.limits.readTimeout()))
-				.addLast(connection.firstBytes())
+				.addLast(new ResponseWriteTimeoutHandler(server, server.limits.readTimeout()))
+				.addLast(connection.firstBytesHandler())
 				.addLast(new HttpServerCodec(config))
 				.addLast(new BoundedAggregator(server.limits.maxBodyBytes()))
 				.addLast(connection);
--- a/runtime/src/main/java/org/almondmount/http/impl/WholeWriteTimeout.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ResponseWriteTimeoutHandler.java
@@ -5,23 +5,23 @@
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.timeout.WriteTimeoutHandler;
-import org.almondmount.http.CutReason;
+import org.almondmount.http.HttpCloseReason;
 
 /**
  * Cuts a caller that does not take its answer in time.
  */
-final class WholeWriteTimeout extends WriteTimeoutHandler {
+final class ResponseWriteTimeoutHandler extends WriteTimeoutHandler {
 
 	private final NettyHttpServer server;
 
-	WholeWriteTimeout(NettyHttpServer server, Duration timeout) {
+	ResponseWriteTimeoutHandler(NettyHttpServer server, Duration timeout) {
 		super(timeout.toMillis(), TimeUnit.MILLISECONDS);
 		this.server = server;
 	}
 
 	@Override
 	protected void writeTimedOut(ChannelHandlerContext ctx) {
-		this.server.cut(CutReason.SLOW_READER);
+		this.server.countClose(HttpCloseReason.SLOW_READER);
 		ctx.close();
 	}
 
--- a/runtime/src/main/java/org/almondmount/http/impl/ServerExchange.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ServerExchange.java
@@ -21,9 +21,9 @@
 
 	private final AtomicBoolean answered = new AtomicBoolean();
 
-	private final List<Runnable> whenGone = new ArrayList<>(1);
+	private final List<Runnable> disconnectActions = new ArrayList<>(1);
 
-	private boolean gone;
+	private boolean disconnected;
 
 	private HttpAnswer answer;
 
@@ -43,19 +43,19 @@
 		if (this.answered.compareAndSet(false, true)) {
 			this.connection.execute(() -> {
 				this.answer = given;
-				this.connection.writeReady();
+				this.connection.writeReadyAnswers();
 			});
 		}
 	}
 
 	@Override
-	public void onCallerGone(Runnable action) {
+	public void onCallerDisconnected(Runnable action) {
 		this.connection.execute(() -> {
-			if (this.gone) {
+			if (this.disconnected) {
 				action.run();
 			}
 			else {
-				this.whenGone.add(action);
+				this.disconnectActions.add(action);
 			}
 		});
 	}
@@ -68,12 +68,12 @@
 		return this.answer;
 	}
 
-	void callerGone() {
-		this.gone = true;
+	void onDisconnected() {
+		this.disconnected = true;
 		if (!this.answered.get()) {
-			this.whenGone.forEach(Runnable::run);
+			this.disconnectActions.forEach(Runnable::run);
 		}
-		this.whenGone.clear();
+		this.disconnectActions.clear();
 	}
 
 }
--- a/runtime/src/main/java/org/almondmount/rows/RowStore.java
+++ b/runtime/src/main/java/org/almondmount/rows/RowStore.java
@@ -35,10 +35,10 @@
 	 * Waits for changes of a table.
 	 * @param table the table
 	 * @param after the version after which changes are wanted
-	 * @param wait how long to wait for the first one
+	 * @param timeout how long to wait for the first one
 	 * @return the changes in order, none where there were none in time
 	 */
-	CompletableFuture<Changes> changes(String table, long after, Duration wait);
+	CompletableFuture<Changes> changes(String table, long after, Duration timeout);
 
 	/**
 	 * Where a row lies.
--- a/runtime/src/test/java/org/almondmount/http/impl/HttpFuzzTests.java
+++ b/runtime/src/test/java/org/almondmount/http/impl/HttpFuzzTests.java
@@ -58,21 +58,21 @@
 	}
 
 	@Property(seed = "20261202", tries = 300)
-	void noBytesHarmOtherCallers(@ForAll @Size(max = 300) byte[] bytes) throws IOException {
-		sendAndReadToTheEnd(bytes);
-		assertThatOthersAreServed();
+	void randomBytesDoNotAffectOtherCallers(@ForAll @Size(max = 300) byte[] bytes) throws IOException {
+		sendAndReadAll(bytes);
+		assertOtherCallersAreServed();
 	}
 
 	@Property(seed = "20261202", tries = 300)
-	void noChangedCallHarmsOtherCallers(@ForAll @IntRange(max = 1_000) int place, @ForAll byte value)
+	void corruptedCallsDoNotAffectOtherCallers(@ForAll @IntRange(max = 1_000) int position, @ForAll byte value)
 			throws IOException {
 		byte[] bytes = CALL.getBytes(StandardCharsets.ISO_8859_1);
-		bytes[place % bytes.length] = value;
-		sendAndReadToTheEnd(bytes);
-		assertThatOthersAreServed();
+		bytes[position % bytes.length] = value;
+		sendAndReadAll(bytes);
+		assertOtherCallersAreServed();
 	}
 
-	private static void sendAndReadToTheEnd(byte[] bytes) throws IOException {
+	private static void sendAndReadAll(byte[] bytes) throws IOException {
 		try (Socket socket = new Socket()) {
 			socket.setSoTimeout(5_000);
 			socket.connect(server.address());
@@ -85,7 +85,7 @@
 		}
 	}
 
-	private static void assertThatOthersAreServed() {
+	private static void assertOtherCallersAreServed() {
 		HttpCall call = new HttpCall("POST", "/", Map.of(), new byte[] { 65 });
 		HttpAnswer answer = client.send(server.address(), call, Duration.ofSeconds(5)).join();
 		assertThat(answer.body()).asString().isEqualTo("A");
--- a/runtime/src/test/java/org/almondmount/http/impl/NettyHttpClientTests.java
+++ b/runtime/src/test/java/org/almondmount/http/impl/NettyHttpClientTests.java
@@ -28,7 +28,7 @@
 
 class NettyHttpClientTests {
 
-	private static final Duration LONG = Duration.ofSeconds(20);
+	private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
 
 	private static final String OK = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
@@ -56,12 +56,12 @@
 	}
 
 	@Test
-	void aConnectionIsUsedAgainAfterAWholeAnswer() throws Exception {
-		CompletableFuture<HttpAnswer> first = send("/1", LONG);
+	void aConnectionIsReusedAfterACompleteAnswer() throws Exception {
+		CompletableFuture<HttpAnswer> first = send("/1", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		reply(connection, OK);
 		assertThat(first.get().status()).isEqualTo(200);
-		CompletableFuture<HttpAnswer> second = send("/2", LONG);
+		CompletableFuture<HttpAnswer> second = send("/2", LONG_TIMEOUT);
 		reply(connection, OK);
 		assertThat(second.get().body()).isEqualTo("ok".getBytes(StandardCharsets.UTF_8));
 		assertThat(this.accepted).isEmpty();
@@ -69,8 +69,8 @@
 
 	@Test
 	void callsBeyondThePoolWaitForAConnection() throws Exception {
-		CompletableFuture<HttpAnswer> first = send("/1", LONG);
-		CompletableFuture<HttpAnswer> second = send("/2", LONG);
+		CompletableFuture<HttpAnswer> first = send("/1", LONG_TIMEOUT);
+		CompletableFuture<HttpAnswer> second = send("/2", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		reply(connection, OK);
 		reply(connection, OK);
@@ -82,7 +82,7 @@
 	void aTruncatedBodyIsAFailureThatMayHaveArrived() throws Exception {
 		// The server dies in the middle of its answer. Half a body may never pass for a
 		// whole one, and the call has been worked on, so it may have arrived.
-		CompletableFuture<HttpAnswer> answer = send("/", LONG);
+		CompletableFuture<HttpAnswer> answer = send("/", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		reply(connection, "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf");
 		connection.close();
@@ -91,7 +91,7 @@
 
 	@Test
 	void aTruncatedChunkedBodyIsAFailure() throws Exception {
-		CompletableFuture<HttpAnswer> answer = send("/", LONG);
+		CompletableFuture<HttpAnswer> answer = send("/", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		reply(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n");
 		connection.close();
@@ -99,8 +99,8 @@
 	}
 
 	@Test
-	void anAnswerWithoutLengthIsAFailureBecauseACutWouldNotShow() throws Exception {
-		CompletableFuture<HttpAnswer> answer = send("/", LONG);
+	void anAnswerWithoutLengthIsAFailureBecauseTruncationIsUndetectable() throws Exception {
+		CompletableFuture<HttpAnswer> answer = send("/", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		reply(connection, "HTTP/1.1 200 OK\r\n\r\nwho knows");
 		connection.close();
@@ -113,9 +113,9 @@
 		// freed may be taken by another process before the call, which then waits for it.
 		try (Socket taken = new Socket()) {
 			taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-			InetSocketAddress nobody = (InetSocketAddress) taken.getLocalSocketAddress();
+			InetSocketAddress unusedAddress = (InetSocketAddress) taken.getLocalSocketAddress();
 			HttpCall call = new HttpCall("GET", "/", Map.of(), new byte[0]);
-			assertThat(failure(this.client.send(nobody, call, LONG)).mayHaveArrived()).isFalse();
+			assertThat(failure(this.client.send(unusedAddress, call, LONG_TIMEOUT)).mayHaveArrived()).isFalse();
 		}
 	}
 
@@ -127,7 +127,7 @@
 		CompletableFuture<HttpAnswer> first = send("/1", Duration.ofMillis(100));
 		Socket connection = this.accepted.take();
 		assertThat(failure(first).mayHaveArrived()).isTrue();
-		CompletableFuture<HttpAnswer> second = send("/2", LONG);
+		CompletableFuture<HttpAnswer> second = send("/2", LONG_TIMEOUT);
 		Socket next = this.accepted.take();
 		try {
 			reply(connection, OK.replace("ok", "no"));
@@ -140,28 +140,28 @@
 	}
 
 	@Test
-	void anAnswerOverTheBoundIsAFailure() throws Exception {
-		CompletableFuture<HttpAnswer> answer = send("/", LONG);
+	void anAnswerOverTheSizeLimitIsAFailure() throws Exception {
+		CompletableFuture<HttpAnswer> answer = send("/", LONG_TIMEOUT);
 		reply(this.accepted.take(), "HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\n" + "x".repeat(9_000));
 		assertThat(failure(answer)).hasMessageContaining("larger");
 	}
 
 	@Test
-	void aHeaderThatWouldForgeACallIsNotSent() {
+	void aHeaderWithLineBreaksIsNotSent() {
 		HttpCall call = new HttpCall("GET", "/", Map.of("x", "a\r\nb: c"), new byte[0]);
-		assertThat(failure(this.client.send(address(), call, LONG)).mayHaveArrived()).isFalse();
+		assertThat(failure(this.client.send(address(), call, LONG_TIMEOUT)).mayHaveArrived()).isFalse();
 	}
 
 	@Test
-	void aCallAfterTheThreadsHaveEndedFailsAndNothingIsSent() {
+	void aCallAfterThreadTerminationFailsUnsent() {
 		this.io.close();
 		Awaitility.await().until(() -> this.io.group().isTerminated());
-		assertThat(failure(send("/", LONG)).mayHaveArrived()).isFalse();
+		assertThat(failure(send("/", LONG_TIMEOUT)).mayHaveArrived()).isFalse();
 	}
 
 	@Test
-	void cancellingGivesTheConnectionUp() throws Exception {
-		CompletableFuture<HttpAnswer> answer = send("/", LONG);
+	void cancellingClosesTheConnection() throws Exception {
+		CompletableFuture<HttpAnswer> answer = send("/", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		assertThat(connection.getInputStream().read()).isPositive();
 		answer.cancel(false);
--- a/runtime/src/test/java/org/almondmount/http/impl/NettyHttpServerTests.java
+++ b/runtime/src/test/java/org/almondmount/http/impl/NettyHttpServerTests.java
@@ -35,7 +35,7 @@
 
 	private final Telemetry telemetry = new Telemetry();
 
-	private final List<HttpExchange> taken = new CopyOnWriteArrayList<>();
+	private final List<HttpExchange> exchanges = new CopyOnWriteArrayList<>();
 
 	private HttpServer server;
 
@@ -47,12 +47,12 @@
 
 	@Test
 	void pipelinedCallsAreAnsweredInTheirOrder() throws IOException {
-		start(this.taken::add);
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "GET /one HTTP/1.1\r\nhost: a\r\n\r\nGET /two HTTP/1.1\r\nhost: a\r\n\r\n");
-			Awaitility.await().until(() -> this.taken.size() == 2);
-			this.taken.get(1).answer(text("second"));
-			this.taken.get(0).answer(text("first"));
+			Awaitility.await().until(() -> this.exchanges.size() == 2);
+			this.exchanges.get(1).answer(text("second"));
+			this.exchanges.get(0).answer(text("first"));
 			String all = readUntil(caller, "second");
 			assertThat(all.indexOf("first")).isPositive().isLessThan(all.indexOf("second"));
 		}
@@ -61,23 +61,23 @@
 	// A process that restarts takes a while until its server is made. A caller that
 	// connects and sends its call meanwhile is answered, not turned away.
 	@Test
-	void aCallerThatConnectsBeforeTheServerIsMadeIsAnswered() throws Exception {
-		ServerSocketChannel early = NettyHttpServer.listenEarly(new InetSocketAddress("127.0.0.1", 0));
+	void aCallerThatConnectsBeforeTheServerStartsIsAnswered() throws Exception {
+		ServerSocketChannel early = NettyHttpServer.openListeningSocket(new InetSocketAddress("127.0.0.1", 0));
 		InetSocketAddress address = (InetSocketAddress) early.getLocalAddress();
 		try (Socket caller = new Socket(address.getAddress(), address.getPort())) {
 			caller.setSoTimeout(5_000);
 			send(caller, "GET /one HTTP/1.1\r\nhost: a\r\n\r\n");
-			this.server = NettyHttpServer.start(this.io, early, LIMITS, this.taken::add, this.telemetry).get();
-			Awaitility.await().until(() -> this.taken.size() == 1);
-			this.taken.get(0).answer(text("first"));
+			this.server = NettyHttpServer.start(this.io, early, LIMITS, this.exchanges::add, this.telemetry).get();
+			Awaitility.await().until(() -> this.exchanges.size() == 1);
+			this.exchanges.get(0).answer(text("first"));
 			assertThat(readUntil(caller, "first")).startsWith("HTTP/1.1 200");
 			assertThat(this.server.address()).isEqualTo(address);
 		}
 	}
 
 	@Test
-	void junkIsRefusedAndTheConnectionEnds() throws IOException {
-		start(this.taken::add);
+	void nonHttpBytesAreRefusedAndTheConnectionIsClosed() throws IOException {
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "\u0001\u0002 junk that is no HTTP\r\n\r\n");
 			assertThat(readAll(caller)).startsWith("HTTP/1.1 400").contains("\"kind\":\"invalid\"").contains("not-run");
@@ -86,12 +86,12 @@
 	}
 
 	@Test
-	void aBodyOverTheBoundIsRefusedWhileTheCallerStillSends() throws IOException {
-		start(this.taken::add);
+	void aBodyOverTheLimitIsRefusedWhileTheCallerStillSends() throws IOException {
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 100000\r\n\r\n" + "x".repeat(50_000));
 			assertThat(readAll(caller)).startsWith("HTTP/1.1 413").contains("too-large");
-			assertThat(this.taken).isEmpty();
+			assertThat(this.exchanges).isEmpty();
 		}
 	}
 
@@ -99,12 +99,12 @@
 	void aRefusalByExpectationDoesNotOvertakeAnEarlierAnswer() throws IOException {
 		// Two calls are pipelined; the second announces a body that is too large and asks
 		// first. Refused at once, its 413 would pass for the answer to the first call.
-		start(this.taken::add);
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "GET /one HTTP/1.1\r\nhost: a\r\n\r\n"
 					+ "POST /two HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 100000\r\n\r\n");
 			Awaitility.await().until(() -> count("http.cut.too-large") == 1);
-			this.taken.get(0).answer(text("first"));
+			this.exchanges.get(0).answer(text("first"));
 			String all = readAll(caller);
 			assertThat(all).startsWith("HTTP/1.1 200");
 			assertThat(all.indexOf("HTTP/1.1 413")).isGreaterThan(all.indexOf("first"));
@@ -112,7 +112,7 @@
 	}
 
 	@Test
-	void aCallerThatAsksFirstIsToldToContinue() throws IOException {
+	void expect100ContinueIsAnsweredWithContinue() throws IOException {
 		start((exchange) -> exchange.answer(text("got " + exchange.call().body().length)));
 		try (Socket caller = connect()) {
 			send(caller, "POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n");
@@ -123,8 +123,8 @@
 	}
 
 	@Test
-	void headersOverTheBoundAreRefused() throws IOException {
-		start(this.taken::add);
+	void headersOverTheLimitAreRefused() throws IOException {
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\nlong: " + "x".repeat(5_000) + "\r\n\r\n");
 			assertThat(readAll(caller)).startsWith("HTTP/1.1 413");
@@ -132,8 +132,8 @@
 	}
 
 	@Test
-	void aCallerThatBeginsACallAndStallsIsCut() throws IOException {
-		start(this.taken::add);
+	void aCallerThatStallsDuringACallIsDisconnected() throws IOException {
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nabc");
 			assertThat(readAll(caller)).isEmpty();
@@ -142,8 +142,8 @@
 	}
 
 	@Test
-	void aSilentCallerIsCut() throws IOException {
-		start(this.taken::add);
+	void anIdleCallerIsDisconnected() throws IOException {
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			assertThat(readAll(caller)).isEmpty();
 			assertThat(count("http.cut.idle")).isEqualTo(1);
@@ -151,14 +151,14 @@
 	}
 
 	@Test
-	void aCallerThatDoesNotTakeItsAnswerIsCut() throws IOException {
+	void aCallerThatDoesNotReadItsAnswerIsDisconnected() throws IOException {
 		// The caller sends a call and reads nothing. Its answer is larger than what the
 		// network keeps, so it would hold memory here for as long as the caller likes.
 		start((exchange) -> exchange.answer(new HttpAnswer(200, Map.of(), new byte[64 << 20])));
 		try (Socket caller = connect()) {
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
 			Awaitility.await().until(() -> count("http.cut.slow-reader") == 1);
-			Awaitility.await().until(() -> this.server.connections() == 0);
+			Awaitility.await().until(() -> this.server.connectionCount() == 0);
 		}
 	}
 
@@ -166,7 +166,7 @@
 	void connectionsOverTheLimitAreClosed() throws IOException {
 		start((exchange) -> exchange.answer(text("ok")));
 		try (Socket one = connect(); Socket two = connect()) {
-			Awaitility.await().until(() -> this.server.connections() == 2);
+			Awaitility.await().until(() -> this.server.connectionCount() == 2);
 			try (Socket three = connect()) {
 				assertThat(readAll(three)).isEmpty();
 			}
@@ -176,21 +176,21 @@
 	}
 
 	@Test
-	void theHandlerIsToldWhenTheCallerGoesBeforeItsAnswer() throws IOException {
+	void theHandlerIsNotifiedWhenTheCallerDisconnectsBeforeItsAnswer() throws IOException {
 		AtomicBoolean gone = new AtomicBoolean();
 		start((exchange) -> {
-			exchange.onCallerGone(() -> gone.set(true));
-			this.taken.add(exchange);
+			exchange.onCallerDisconnected(() -> gone.set(true));
+			this.exchanges.add(exchange);
 		});
 		try (Socket caller = connect()) {
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
-			Awaitility.await().until(() -> !this.taken.isEmpty());
+			Awaitility.await().until(() -> !this.exchanges.isEmpty());
 		}
 		Awaitility.await().untilTrue(gone);
 	}
 
 	@Test
-	void anAnswersHeaderCannotForgeASecondAnswer() throws IOException {
+	void anAnswerHeaderCannotInjectASecondAnswer() throws IOException {
 		start((exchange) -> exchange
 			.answer(new HttpAnswer(200, Map.of("x", "a\r\n\r\nHTTP/1.1 200 OK\r\n\r\nforged"), new byte[0])));
 		try (Socket caller = connect()) {
@@ -200,30 +200,30 @@
 	}
 
 	@Test
-	void aDrainAnswersWhatHasArrivedAndThenCloses() throws Exception {
+	void aDrainAnswersReceivedCallsAndThenCloses() throws Exception {
 		// A caller's call is being worked on when the drain begins. It gets its whole
 		// answer with `connection: close`; only then is the drain over, and nothing had
 		// to be cut.
-		start(this.taken::add);
+		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
-			Awaitility.await().until(() -> !this.taken.isEmpty());
+			Awaitility.await().until(() -> !this.exchanges.isEmpty());
 			CompletableFuture<Boolean> drained = this.server.drain(Duration.ofMillis(50), Duration.ofSeconds(20));
 			Awaitility.await().until(this::refusesConnections);
 			assertThat(drained).isNotDone();
-			this.taken.get(0).answer(text("whole"));
+			this.exchanges.get(0).answer(text("whole"));
 			assertThat(readAll(caller)).contains("connection: close").endsWith("whole");
 			assertThat(drained.get(5, TimeUnit.SECONDS)).isTrue();
 		}
 	}
 
 	@Test
-	void aDrainStillTakesCallsDuringItsLinger() throws Exception {
+	void aDrainStillAcceptsCallsDuringItsLinger() throws Exception {
 		// The caller's call was on its way when the drain began: it arrives on a
 		// kept-open connection, is answered, and is told that the connection ends.
 		start((exchange) -> exchange.answer(text("ok")));
 		try (Socket caller = connect()) {
-			Awaitility.await().until(() -> this.server.connections() == 1);
+			Awaitility.await().until(() -> this.server.connectionCount() == 1);
 			CompletableFuture<Boolean> drained = this.server.drain(Duration.ofMillis(300), Duration.ofSeconds(20));
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
 			assertThat(readAll(caller)).contains("connection: close").endsWith("ok");
--- a/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
+++ b/runtime/src/test/java/org/almondmount/telemetry/OperatorsPageTests.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-import org.almondmount.http.CutReason;
+import org.almondmount.http.HttpCloseReason;
 import org.almondmount.model.RefusalReason;
 import org.almondmount.requests.RetryReason;
 import org.almondmount.services.TableOutcome;
@@ -53,7 +53,7 @@
 	@Test
 	void everyReasonOfTheRuntimeIsListed() throws IOException {
 		String page = Files.readString(PAGE);
-		List<Enum<?>> reasons = new ArrayList<>(List.of(CutReason.values()));
+		List<Enum<?>> reasons = new ArrayList<>(List.of(HttpCloseReason.values()));
 		reasons.addAll(List.of(TableRetry.values()));
 		reasons.addAll(List.of(TableOutcome.values()));
 		reasons.addAll(List.of(SendRefusal.values()));
