--- a/runtime/src/main/java/org/almondmount/http/HttpAnswer.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpAnswer.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * One response, whole.
+ * A complete HTTP response.
  *
  * @param status the status code
  * @param headers headers by lower-case name
- * @param body the whole body
+ * @param body the complete body
  */
 public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {
 
--- a/runtime/src/main/java/org/almondmount/http/HttpClient.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpClient.java
@@ -5,17 +5,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Sends calls and gives whole answers. Thread-safe.
+ * Sends calls and returns complete answers. Thread-safe.
  */
 public interface HttpClient extends AutoCloseable {
 
 	/**
-	 * Sends one call on a pooled connection. It is never sent twice.
-	 * @param server where to
-	 * @param call what
-	 * @param timeout for the whole exchange
-	 * @return the whole answer, or {@link HttpFailure} saying whether the server may have
-	 * seen it; completed on an I/O thread
+	 * Sends a call on a pooled connection. The call is never retried.
+	 * @param server the address of the server
+	 * @param call the call to send
+	 * @param timeout the limit for the whole exchange, including the wait for a
+	 * connection
+	 * @return a future of the complete answer, completed on an I/O thread; it fails with
+	 * an {@link HttpFailure}, which states whether the server may have received the call
 	 */
 	CompletableFuture<HttpAnswer> send(InetSocketAddress server, HttpCall call, Duration timeout);
 
--- a/runtime/src/main/java/org/almondmount/http/HttpCloseReason.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpCloseReason.java
@@ -1,29 +1,30 @@
 package org.almondmount.http;
 
 /**
- * Every reason for which an HTTP server ends a connection on its own; each has a counter.
+ * Reasons for which the HTTP server closes a connection on its own initiative. Each has a
+ * counter.
  */
 public enum HttpCloseReason {
 
-	/** The connection count is at its limit. */
+	/** The maximum number of open connections was reached. */
 	TOO_MANY_CONNECTIONS,
 
-	/** A call was begun and not finished in time. */
+	/** The caller started a call and did not complete it within the read timeout. */
 	SLOW_CALLER,
 
-	/** No call came in time. */
+	/** No call arrived within the read timeout. */
 	IDLE,
 
-	/** The answer was not taken in time. */
+	/** The caller did not read the answer within the write timeout. */
 	SLOW_READER,
 
-	/** Bytes that are no HTTP. */
+	/** The received bytes are not valid HTTP. */
 	JUNK,
 
-	/** The headers or the body are over their bound. */
+	/** The headers or the body exceed their size limit. */
 	TOO_LARGE,
 
-	/** The drain's deadline passed. */
+	/** The connection was still open at the drain deadline. */
 	DRAIN_DEADLINE
 
 }
--- a/runtime/src/main/java/org/almondmount/http/HttpExchange.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpExchange.java
@@ -1,25 +1,27 @@
 package org.almondmount.http;
 
 /**
- * One call that waits for its answer. Thread-safe; the first answer counts.
+ * A call together with the means to answer it. Thread-safe; only the first answer is
+ * sent.
  */
 public interface HttpExchange {
 
 	/**
-	 * The request.
-	 * @return the call, read whole
+	 * Returns the call.
+	 * @return the complete call
 	 */
 	HttpCall call();
 
 	/**
 	 * Answers the call. A second answer is ignored.
-	 * @param answer the whole answer
+	 * @param answer the complete answer
 	 */
 	void answer(HttpAnswer answer);
 
 	/**
-	 * Has something done when the caller closes its connection before the answer.
-	 * @param action what to do, on an I/O thread
+	 * Registers an action that runs if the caller disconnects before the call is
+	 * answered.
+	 * @param action the action, run on an I/O thread
 	 */
 	void onCallerDisconnected(Runnable action);
 
--- a/runtime/src/main/java/org/almondmount/http/HttpFailure.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpFailure.java
@@ -3,7 +3,7 @@
 import org.almondmount.model.AlmondmountException;
 
 /**
- * A call that got no whole answer.
+ * Thrown when a call did not receive a complete answer.
  */
 public class HttpFailure extends AlmondmountException {
 
@@ -15,8 +15,8 @@
 	}
 
 	/**
-	 * Whether the server may have seen the call.
-	 * @return false when not a byte of it was sent
+	 * Returns whether the server may have received the call.
+	 * @return false if no byte of the call was sent
 	 */
 	public boolean mayHaveArrived() {
 		return this.mayHaveArrived;
--- a/runtime/src/main/java/org/almondmount/http/HttpHandler.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpHandler.java
@@ -1,15 +1,15 @@
 package org.almondmount.http;
 
 /**
- * Takes calls. Called on I/O threads; implementations pass on to a ring and return at
- * once.
+ * Handles incoming calls. Invoked on I/O threads, so implementations must not block: they
+ * pass the call on to a ring buffer and return.
  */
 @FunctionalInterface
 public interface HttpHandler {
 
 	/**
-	 * Takes one call.
-	 * @param exchange the call and the place for its answer
+	 * Handles a call.
+	 * @param exchange the call and the means to answer it
 	 */
 	void handle(HttpExchange exchange);
 
--- a/runtime/src/main/java/org/almondmount/http/HttpLimits.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpLimits.java
@@ -3,17 +3,18 @@
 import java.time.Duration;
 
 /**
- * The bounds of an HTTP server. Immutable.
+ * The limits of an HTTP server. Immutable.
  *
- * @param maxHeaderBytes all headers of one call together
- * @param maxBodyBytes one body
- * @param maxConnections open connections
- * @param readTimeout time for a caller to send a whole call once it has begun, and the
- * time an idle connection is kept
+ * @param maxHeaderBytes the maximum total size of the headers of a call
+ * @param maxBodyBytes the maximum size of a body
+ * @param maxConnections the maximum number of open connections
+ * @param readTimeout the time within which a caller has to complete a call that it
+ * started and has to read its answer, and the time after which an idle connection is
+ * closed
  */
 public record HttpLimits(int maxHeaderBytes, int maxBodyBytes, int maxConnections, Duration readTimeout) {
 
-	/** The bounds that hold where nothing else is said. */
+	/** The limits that apply by default. */
 	public static final HttpLimits DEFAULT = new HttpLimits(16 << 10, 8 << 20, 4_096, Duration.ofSeconds(10));
 
 }
--- a/runtime/src/main/java/org/almondmount/http/HttpServer.java
+++ b/runtime/src/main/java/org/almondmount/http/HttpServer.java
@@ -10,30 +10,31 @@
 public interface HttpServer extends AutoCloseable {
 
 	/**
-	 * Where it listens.
+	 * Returns the address on which the server listens.
 	 * @return the bound address
 	 */
 	InetSocketAddress address();
 
 	/**
-	 * Open connections now.
-	 * @return a count
+	 * Returns the number of open connections.
+	 * @return the current count
 	 */
 	int connectionCount();
 
 	/**
-	 * Ends gracefully: every answer from now on carries {@code connection: close}; after
-	 * the linger it accepts nothing more and closes idle connections; calls that have
-	 * arrived are answered.
-	 * @param linger time during which calls on open and new connections are still taken,
-	 * so that none is cut that was on its way
-	 * @param deadline time after which what is left is cut
-	 * @return completes when no connection is left; true when nothing had to be cut
+	 * Shuts down gracefully. From now on every answer carries {@code connection: close}.
+	 * After the linger the server accepts no more connections and closes idle ones; calls
+	 * that have been received are still answered.
+	 * @param linger the time during which calls on open and new connections are still
+	 * accepted, so that calls already in transit are not lost
+	 * @param deadline the time after which the remaining connections are closed
+	 * @return a future that completes when no connection is left, with true if none had
+	 * to be closed at the deadline
 	 */
 	CompletableFuture<Boolean> drain(Duration linger, Duration deadline);
 
 	/**
-	 * Closes everything at once.
+	 * Closes the listening socket and all connections immediately.
 	 */
 	@Override
 	void close();
--- a/runtime/src/main/java/org/almondmount/http/Problem.java
+++ b/runtime/src/main/java/org/almondmount/http/Problem.java
@@ -12,7 +12,7 @@
 import org.almondmount.model.RefusalReason;
 
 /**
- * Refusals as problem documents (RFC 9457).
+ * Converts refusals to problem documents (RFC 9457).
  */
 public final class Problem {
 
@@ -27,20 +27,20 @@
 	}
 
 	/**
-	 * The answer that carries a refusal.
+	 * Creates the answer for a refusal.
 	 * @param refusal the refusal
-	 * @return the whole answer
+	 * @return the complete answer
 	 */
 	public static HttpAnswer answer(Refusal refusal) {
 		return answer(refusal, Map.of());
 	}
 
 	/**
-	 * The answer that carries a refusal.
+	 * Creates the answer for a refusal.
 	 * @param refusal the refusal
 	 * @param identifiers further members of the document, such as {@code request} or
 	 * {@code job}
-	 * @return the whole answer
+	 * @return the complete answer
 	 */
 	public static HttpAnswer answer(Refusal refusal, Map<String, String> identifiers) {
 		Map<String, String> headers = new LinkedHashMap<>();
--- a/runtime/src/main/java/org/almondmount/http/impl/BoundedAggregator.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/BoundedAggregator.java
@@ -12,11 +12,11 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Gathers whole messages up to a bound.
+ * Aggregates complete messages up to a size limit.
  * <p>
- * A message over the bound is reported as {@link MessageTooLarge}. A response that
- * neither tells its length nor is chunked ends where the connection ends; a cut one would
- * look whole, so it is reported as {@link MissingLengthException}.
+ * A message over the limit is reported as {@link MessageTooLarge}. A response that has
+ * neither a content length nor chunked encoding ends when the connection closes, so a
+ * truncated one would look complete; it is reported as {@link MissingLengthException}.
  */
 final class BoundedAggregator extends HttpObjectAggregator {
 
@@ -32,9 +32,10 @@
 		return super.beginAggregation(start, content);
 	}
 
-	// Netty's own refusal of an expectation would overtake the answers to earlier
-	// pipelined calls and be taken for one of them. Only the interim "100 Continue" may
-	// go out of turn; a call that is too large is refused like any other, in its turn.
+	// Netty's own refusal of an expectation would be written before the answers to
+	// earlier pipelined calls and be mistaken for one of them. Only the interim "100
+	// Continue" may be written out of order; a call that is too large is refused in order
+	// like any other.
 	@Override
 	protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
 		Object response = super.newContinueResponse(start, maxContentLength, pipeline);
@@ -58,17 +59,17 @@
 	}
 
 	/**
-	 * A message was over the bound.
+	 * User event: a message exceeded the size limit.
 	 */
 	enum MessageTooLarge {
 
-		/** The only one. */
+		/** The single instance. */
 		INSTANCE
 
 	}
 
 	/**
-	 * A response's end cannot be told from a cut.
+	 * Thrown when the end of a response could not be distinguished from a truncation.
 	 */
 	static final class MissingLengthException extends Exception {
 
--- a/runtime/src/main/java/org/almondmount/http/impl/ClientCall.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ClientCall.java
@@ -9,7 +9,7 @@
 import org.almondmount.http.HttpFailure;
 
 /**
- * One call of the client. Belongs to the client's thread.
+ * A call of the client. Confined to the client's event-loop thread.
  */
 final class ClientCall {
 
@@ -43,9 +43,9 @@
 	}
 
 	/**
-	 * Marks it as sent and hands out the request; from now on the server may have seen
-	 * it.
-	 * @param carrier the connection that carries it
+	 * Marks the call as sent and returns the request. From now on the server may have
+	 * received the call.
+	 * @param carrier the connection on which the call is sent
 	 * @return the request
 	 */
 	FullHttpRequest markSent(Channel carrier) {
@@ -62,8 +62,8 @@
 	}
 
 	/**
-	 * Gives it up. Its connection may still bring the late answer, so it is closed and
-	 * never used again.
+	 * Abandons the call. Its late answer may still arrive on the connection, so the
+	 * connection is closed and never reused.
 	 */
 	void abandon() {
 		if (this.timer != null) {
--- a/runtime/src/main/java/org/almondmount/http/impl/ClientConnection.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ClientConnection.java
@@ -8,8 +8,8 @@
 import org.almondmount.http.HttpAnswer;
 
 /**
- * One connection of the client, with at most one call at a time. Belongs to the client's
- * thread.
+ * A connection of the client, which carries at most one call at a time. Confined to the
+ * client's event-loop thread.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
--- a/runtime/src/main/java/org/almondmount/http/impl/ConnectionPool.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ConnectionPool.java
@@ -19,22 +19,23 @@
 import io.netty.handler.codec.http.HttpClientCodec;
 
 /**
- * The connections to one server. Belongs to the client's thread.
+ * The connection pool for one server. Confined to the client's event-loop thread.
  */
 final class ConnectionPool {
 
 	private static final int MAX_WAITING_CALLS = 4_096;
 
-	// Below the time after which servers close idle connections, so that a call is rarely
-	// sent on one that is just being closed: its ending would be unknown.
+	// Shorter than the idle timeout of servers, so that a call is rarely sent on a
+	// connection that the server is just closing: its outcome would be unknown.
 	private static final Duration MAX_IDLE = Duration.ofSeconds(4);
 
 	private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
 
 	/**
-	 * An attempt to connect that takes longer was probably lost, in milliseconds: a
-	 * network sends its first packet again only after a second. Calls that come later get
-	 * an attempt of their own, or a server that is back would go unnoticed for so long.
+	 * The time, in milliseconds, after which the packets of a connection attempt are
+	 * presumed lost. TCP retransmits the first packet only after a second. Calls that
+	 * arrive later get a connection attempt of their own; otherwise it would take up to
+	 * that second to detect that a server is available again.
 	 */
 	private static final long EXPECTED_CONNECT_MILLIS = 300;
 
@@ -52,7 +53,7 @@
 
 	private final Set<Channel> openConnections = new HashSet<>();
 
-	/** Attempts to connect by the time at which each began, the oldest first. */
+	/** The start times of the connection attempts in progress, the oldest first. */
 	private final Deque<Long> connectStartNanos = new ArrayDeque<>();
 
 	ConnectionPool(EventLoop loop, InetSocketAddress server, int maxConnections, int maxAnswerBytes) {
@@ -84,7 +85,7 @@
 	}
 
 	/**
-	 * Takes back a connection whose answer was read whole.
+	 * Returns a connection to the pool after its answer was read completely.
 	 * @param channel the connection
 	 */
 	void release(Channel channel) {
@@ -182,8 +183,9 @@
 		release(channel);
 	}
 
-	// One failed attempt fails one call: those behind it get an attempt of their own, so
-	// none waits for a server that is gone longer than its own attempt takes.
+	// A failed connection attempt fails only one call. The next calls get attempts of
+	// their own, so no call waits for an unreachable server longer than its own attempt
+	// takes.
 	private void onConnectFailed(Throwable cause) {
 		removeCompletedCalls();
 		ClientCall call = this.waitingCalls.poll();
@@ -194,7 +196,7 @@
 	}
 
 	/**
-	 * Sets up a connection.
+	 * Sets up the pipeline of a connection.
 	 */
 	private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
--- a/runtime/src/main/java/org/almondmount/http/impl/HeaderMapping.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/HeaderMapping.java
@@ -8,18 +8,21 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Headers between Netty's form and maps by lower-case name.
+ * Converts headers between Netty's representation and maps by lower-case name.
  * <p>
- * Headers that speak about one connection, or about how a body is framed on it, are left
- * out on the way in and refused on the way out: a caller that could set them could end
- * another call's message early.
+ * Headers that apply to a single connection or to the framing of a body are dropped in
+ * both directions. A caller that could set them could end the message of another call
+ * early (request smuggling).
  */
 final class HeaderMapping {
 
 	private static final Set<String> CONNECTION_HEADERS = Set.of("connection", "keep-alive", "proxy-connection",
 			"transfer-encoding", "content-length", "te", "trailer", "upgrade", "expect");
 
-	/** Read by servers that serve several hosts; a client sets its own. */
+	/**
+	 * Selects the virtual host on servers with several hosts; the client sets its own
+	 * value.
+	 */
 	private static final String HOST = "host";
 
 	private HeaderMapping() {
--- a/runtime/src/main/java/org/almondmount/http/impl/HttpServerConnection.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/HttpServerConnection.java
@@ -31,11 +31,13 @@
 import org.almondmount.model.RefusalReason;
 
 /**
- * One connection of the server. Belongs to its event-loop thread.
+ * A connection of the server. Confined to its event-loop thread.
  */
 final class HttpServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-	/** Closes the connection unless a call is being worked on. */
+	/**
+	 * User event that closes the connection unless a call is being received or processed.
+	 */
 	static final Object CLOSE_IF_IDLE = new Object();
 
 	private static final int MAX_PIPELINED_CALLS = 16;
@@ -62,8 +64,9 @@
 	}
 
 	/**
-	 * Notices the first bytes of a call, before the codec has made anything of them.
-	 * @return the handler that stands before the codec
+	 * Creates a handler that detects the first bytes of a call before the codec decodes
+	 * them, so that the read timeout also covers incomplete calls.
+	 * @return the handler to place before the codec
 	 */
 	ChannelHandler firstBytesHandler() {
 		return new ChannelInboundHandlerAdapter() {
@@ -183,8 +186,8 @@
 		return Refusal.notRun(reason, detail);
 	}
 
-	// Calls that came before the faulty one are still owed their answers, in order; the
-	// refusal takes the last place and what comes after it is thrown away.
+	// Earlier calls on the connection still receive their answers in order. The refusal
+	// is queued after them, and everything received after the refused call is discarded.
 	private void refuseAndClose(HttpCloseReason reason, Refusal refusal) {
 		this.server.countClose(reason);
 		this.refused = true;
@@ -214,10 +217,10 @@
 		});
 	}
 
-	// Closing while the caller still sends makes the system reset the connection, and a
-	// reset takes the refusal away before the caller has read it. So only this side's
-	// half is closed at first; the rest follows when the caller closes, or after a
-	// moment.
+	// Closing the socket while the caller is still sending causes a TCP reset, which can
+	// discard the refusal before the caller has read it. Therefore only the output is
+	// shut down at first; the socket is closed when the caller closes its side, or after
+	// HALF_CLOSE_MILLIS.
 	private void halfClose() {
 		this.channel.shutdownOutput();
 		this.channel.eventLoop().schedule(() -> this.channel.close(), HALF_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
--- a/runtime/src/main/java/org/almondmount/http/impl/NettyHttpClient.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/NettyHttpClient.java
@@ -22,8 +22,8 @@
 import org.almondmount.net.IoThreads;
 
 /**
- * An HTTP/1.1 client with a small pool of connections for each server. Thread-safe; the
- * pools belong to one event-loop thread.
+ * An HTTP/1.1 client with a small connection pool for each server. Thread-safe; the pools
+ * are confined to one event-loop thread.
  */
 public final class NettyHttpClient implements HttpClient {
 
@@ -38,10 +38,11 @@
 	private volatile boolean closed;
 
 	/**
-	 * Makes a client.
-	 * @param io the threads; one of them is used
-	 * @param maxPerServer connections to one server; further calls wait for one
-	 * @param maxAnswerBytes the largest body of an answer
+	 * Creates a client.
+	 * @param io the I/O threads, of which the client uses one
+	 * @param maxPerServer the maximum number of connections to a server; further calls
+	 * wait for a free connection
+	 * @param maxAnswerBytes the maximum size of the body of an answer
 	 */
 	public NettyHttpClient(IoThreads io, int maxPerServer, int maxAnswerBytes) {
 		this.loop = io.next();
@@ -50,7 +51,8 @@
 	}
 
 	/**
-	 * Cancelling the future gives the call up and closes its connection.
+	 * Sends a call. Cancelling the returned future abandons the call and closes its
+	 * connection.
 	 */
 	@Override
 	public CompletableFuture<HttpAnswer> send(InetSocketAddress server, HttpCall call, Duration timeout) {
--- a/runtime/src/main/java/org/almondmount/http/impl/NettyHttpServer.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/NettyHttpServer.java
@@ -29,13 +29,15 @@
 import org.almondmount.telemetry.Telemetry;
 
 /**
- * A bounded HTTP/1.1 server on Netty's codec. Thread-safe.
+ * An HTTP/1.1 server on Netty's codec, with limits on size, time and connections.
+ * Thread-safe.
  * <p>
- * Answers leave a connection in the order of its calls, also when they are pipelined.
+ * Answers are written in the order of the calls of a connection, so that pipelined calls
+ * receive the right answers.
  */
 public final class NettyHttpServer implements HttpServer {
 
-	/** The family of counters for {@link HttpCloseReason}. */
+	/** The name of the counter family for {@link HttpCloseReason}. */
 	public static final String CLOSE_COUNTERS = "http.cut";
 
 	private static final int BACKLOG = 1_024;
@@ -70,12 +72,13 @@
 
 	/**
 	 * Starts a server.
-	 * @param io the threads that it uses
-	 * @param address where to listen; port 0 picks one
-	 * @param limits its bounds
-	 * @param handler takes the calls
-	 * @param telemetry counts the connections that it cuts
-	 * @return the server once it is bound, or the failure to bind
+	 * @param io the I/O threads
+	 * @param address the address to listen on; with port 0 the system assigns a free port
+	 * @param limits the limits of the server
+	 * @param handler handles the calls
+	 * @param telemetry counts the connections that the server closes
+	 * @return a future of the server, completed when its socket is bound; it fails if the
+	 * socket can't be bound
 	 */
 	public static CompletableFuture<HttpServer> start(IoThreads io, InetSocketAddress address, HttpLimits limits,
 			HttpHandler handler, Telemetry telemetry) {
@@ -83,16 +86,17 @@
 	}
 
 	/**
-	 * Begins to listen before anything of a server is made. Connections that come
-	 * meanwhile wait to be accepted.
+	 * Opens the listening socket before the server is created. Connections that arrive in
+	 * the meantime wait in the backlog until the server accepts them.
 	 * <p>
-	 * A process takes most of a second to start. Callers that connect in that time would
-	 * be turned away, and each time is one of their few tries; 0.8 s after a loss of
-	 * power a caller with three seconds had none left.
-	 * @param address where to listen
+	 * A process takes most of a second to start. Without the socket, connections made in
+	 * that time are refused, and each refusal uses up one of the caller's few attempts:
+	 * 0.8 s after a power loss a caller with a timeout of three seconds had no attempts
+	 * left.
+	 * @param address the address to listen on
 	 * @return the listening socket, for
 	 * {@link #start(IoThreads, ServerSocketChannel, HttpLimits, HttpHandler, Telemetry)}
-	 * @throws IOException where the address can't be bound
+	 * @throws IOException if the address can't be bound
 	 */
 	public static ServerSocketChannel openListeningSocket(InetSocketAddress address) throws IOException {
 		ServerSocketChannel socket = ServerSocketChannel.open();
@@ -101,13 +105,13 @@
 	}
 
 	/**
-	 * Starts a server on a socket that listens already.
-	 * @param io the threads that it uses
-	 * @param socket the socket
-	 * @param limits its bounds
-	 * @param handler takes the calls
-	 * @param telemetry counts the connections that it cuts
-	 * @return the server once it accepts connections
+	 * Starts a server on a socket that is already listening.
+	 * @param io the I/O threads
+	 * @param socket the listening socket
+	 * @param limits the limits of the server
+	 * @param handler handles the calls
+	 * @param telemetry counts the connections that the server closes
+	 * @return a future of the server, completed when it accepts connections
 	 */
 	public static CompletableFuture<HttpServer> start(IoThreads io, ServerSocketChannel socket, HttpLimits limits,
 			HttpHandler handler, Telemetry telemetry) {
@@ -213,7 +217,7 @@
 	}
 
 	/**
-	 * Sets up each accepted connection.
+	 * Enforces the connection limit and sets up the pipeline of an accepted connection.
 	 */
 	private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
--- a/runtime/src/main/java/org/almondmount/http/impl/ResponseWriteTimeoutHandler.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ResponseWriteTimeoutHandler.java
@@ -8,7 +8,7 @@
 import org.almondmount.http.HttpCloseReason;
 
 /**
- * Cuts a caller that does not take its answer in time.
+ * Closes the connection of a caller that does not read its answer in time.
  */
 final class ResponseWriteTimeoutHandler extends WriteTimeoutHandler {
 
--- a/runtime/src/main/java/org/almondmount/http/impl/ServerExchange.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ServerExchange.java
@@ -9,7 +9,8 @@
 import org.almondmount.http.HttpExchange;
 
 /**
- * One call on a connection. Fields without a comment belong to the connection's thread.
+ * A call on a connection of the server. Mutable fields are confined to the connection's
+ * event-loop thread, except {@code answered}, which is atomic.
  */
 final class ServerExchange implements HttpExchange {
 
--- a/runtime/src/main/java/org/almondmount/http/package-info.java
+++ b/runtime/src/main/java/org/almondmount/http/package-info.java
@@ -1,5 +1,6 @@
 /**
- * HTTP/1.1 on Netty's codec: a bounded server for callers and a pooled client for the
- * platform and the service instance. {@code impl} holds the Netty side.
+ * HTTP/1.1 on Netty's codec: a server with limits on size, time and connections for
+ * callers, and a client with pooled connections to the platform and the service instance.
+ * The implementation is in {@code impl}.
  */
 package org.almondmount.http;
--- a/runtime/src/main/java/org/almondmount/rows/RowStore.java
+++ b/runtime/src/main/java/org/almondmount/rows/RowStore.java
@@ -7,41 +7,41 @@
 
 /**
  * A transactional store of rows. Thread-safe. Futures complete on an I/O thread and never
- * exceptionally: every ending is a value. Nothing is sent twice; who asks decides whether
- * to ask again.
+ * exceptionally: every outcome, including a failure, is a value. The store never retries;
+ * the caller decides whether to repeat an operation.
  */
 public interface RowStore {
 
 	/**
-	 * Commits writes whole or not at all.
-	 * @param conditions all have to hold
-	 * @param writes all are made
-	 * @param timeout after which it counts as unanswered
-	 * @return how it ended
+	 * Commits all writes atomically.
+	 * @param conditions the conditions, all of which have to hold
+	 * @param writes the writes
+	 * @param timeout the time after which the operation counts as unanswered
+	 * @return the outcome
 	 */
 	CompletableFuture<Commit> commit(List<Condition> conditions, List<Write> writes, Duration timeout);
 
 	/**
 	 * Reads rows in the order of their keys.
 	 * @param table the table
-	 * @param from the first key, or empty for the beginning
-	 * @param limit at most so many
-	 * @param timeout after which it counts as unanswered
-	 * @return the rows
+	 * @param from the first key, or empty to start at the beginning
+	 * @param limit the maximum number of rows
+	 * @param timeout the time after which the operation counts as unanswered
+	 * @return the rows, or the reason why the store is unavailable
 	 */
 	CompletableFuture<Read> read(String table, String from, int limit, Duration timeout);
 
 	/**
 	 * Waits for changes of a table.
 	 * @param table the table
-	 * @param after the version after which changes are wanted
-	 * @param timeout how long to wait for the first one
-	 * @return the changes in order, none where there were none in time
+	 * @param after the version after which changes are returned
+	 * @param timeout how long to wait for the first change
+	 * @return the changes in order, empty if there were none in time
 	 */
 	CompletableFuture<Changes> changes(String table, long after, Duration timeout);
 
 	/**
-	 * Where a row lies.
+	 * The location of a row.
 	 *
 	 * @param table the table
 	 * @param key the row's key
@@ -52,18 +52,19 @@
 	/**
 	 * A row.
 	 *
-	 * @param place where it lies
-	 * @param version the version that wrote it; versions of all rows are compared
-	 * @param value its text; empty for a row that was deleted
+	 * @param place the location of the row
+	 * @param version the version of the commit that wrote the row; versions are
+	 * comparable across all rows
+	 * @param value the text of the row, empty if the row was deleted
 	 */
 	record Row(Place place, long version, Optional<String> value) {
 	}
 
 	/**
-	 * A condition: the row is at that version.
+	 * A condition that a row has the given version.
 	 *
 	 * @param place the row
-	 * @param version the version, or 0 for a row that is not there
+	 * @param version the expected version, or 0 if the row must not exist
 	 */
 	record Condition(Place place, long version) {
 	}
@@ -72,40 +73,42 @@
 	 * A write.
 	 *
 	 * @param place the row
-	 * @param value its new value; empty deletes it
+	 * @param value the new value; an empty one deletes the row
 	 */
 	record Write(Place place, Optional<String> value) {
 	}
 
 	/**
-	 * How a commit ended.
+	 * The outcome of a commit.
 	 */
 	sealed interface Commit {
 
-		/** All writes took effect; their rows are at that version. */
+		/** All writes took effect; the written rows have this version. */
 		record Committed(long version) implements Commit {
 		}
 
-		/** A condition did not hold; the rows of the conditions as they are. */
+		/** A condition did not hold; contains the current rows of the conditions. */
 		record Conflict(List<Row> current) implements Commit {
 		}
 
-		/** Nothing took effect and nothing will. */
+		/** No write took effect or will take effect. */
 		record Refused(String why) implements Commit {
 		}
 
-		/** It may have taken effect, or may still do so. */
+		/** The commit may have taken effect, or may still take effect. */
 		record Unanswered(String why) implements Commit {
 		}
 
 	}
 
 	/**
-	 * How a read ended.
+	 * The outcome of a read.
 	 */
 	sealed interface Read {
 
-		/** The rows, as of one moment, whose newest change has that version. */
+		/**
+		 * A consistent snapshot of the rows; the version is that of the newest change.
+		 */
 		record Found(List<Row> rows, boolean more, long version) implements Read {
 		}
 
@@ -116,15 +119,18 @@
 	}
 
 	/**
-	 * How waiting for changes ended.
+	 * The outcome of a wait for changes.
 	 */
 	sealed interface Changes {
 
-		/** The changes; go on after that version. */
+		/** The changes; the next call continues after this version. */
 		record Found(List<Row> rows, long version) implements Changes {
 		}
 
-		/** The store no longer knows what changed; everything has to be read again. */
+		/**
+		 * The store no longer has the history after the given version; all rows have to
+		 * be read again.
+		 */
 		record Forgotten() implements Changes {
 		}
 
--- a/runtime/src/main/java/org/almondmount/rows/package-info.java
+++ b/runtime/src/main/java/org/almondmount/rows/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Rows that last: the interface through which the workflow programs keep what has to
- * survive them. Installations bring the implementation.
+ * Durable rows: the interface through which the workflow programs store the state that
+ * has to outlive their processes. Installations provide the implementation.
  */
 package org.almondmount.rows;
--- a/runtime/src/test/java/org/almondmount/http/impl/HttpFuzzTests.java
+++ b/runtime/src/test/java/org/almondmount/http/impl/HttpFuzzTests.java
@@ -29,10 +29,10 @@
 	private static final String CALL = "POST /v1/jobs?x=1 HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\n"
 			+ "transfer-encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n";
 
-	// The other caller's connection rests while the bytes are sent. A server that closed
-	// it
-	// after some milliseconds would do so just when the next call is on its way, and what
-	// fails would be the reuse of a connection and not what the bytes harmed.
+	// The other caller's connection is idle while the bytes are sent. With an idle
+	// timeout of some milliseconds the server could close it just as the next call is
+	// sent, and the test would fail because of connection reuse and not because of the
+	// bytes.
 	private static final HttpLimits LIMITS = new HttpLimits(1_024, 2_048, 100, Duration.ofSeconds(2));
 
 	private static IoThreads io;
--- a/runtime/src/test/java/org/almondmount/http/impl/NettyHttpClientTests.java
+++ b/runtime/src/test/java/org/almondmount/http/impl/NettyHttpClientTests.java
@@ -80,8 +80,9 @@
 
 	@Test
 	void aTruncatedBodyIsAFailureThatMayHaveArrived() throws Exception {
-		// The server dies in the middle of its answer. Half a body may never pass for a
-		// whole one, and the call has been worked on, so it may have arrived.
+		// The server closes the connection in the middle of its answer. A truncated body
+		// must not be accepted as complete, and the failure must state that the server
+		// may have received the call.
 		CompletableFuture<HttpAnswer> answer = send("/", LONG_TIMEOUT);
 		Socket connection = this.accepted.take();
 		reply(connection, "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf");
@@ -109,8 +110,9 @@
 
 	@Test
 	void aRefusedConnectionMeansThatNothingArrived() throws Exception {
-		// The port stays taken by a socket that does not listen: a port that was merely
-		// freed may be taken by another process before the call, which then waits for it.
+		// A bound socket that does not listen keeps the port occupied. A port that was
+		// only released could be bound by another process before the call, which would
+		// then wait for that process.
 		try (Socket taken = new Socket()) {
 			taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
 			InetSocketAddress unusedAddress = (InetSocketAddress) taken.getLocalSocketAddress();
@@ -121,9 +123,9 @@
 
 	@Test
 	void aLateAnswerNeverReachesTheNextCall() throws Exception {
-		// The first call times out; its answer comes late on the same connection. Handed
-		// to the second call it would be somebody else's answer, so that connection is
-		// never used again.
+		// The first call times out and its answer arrives late on the same connection. If
+		// the connection were reused, the second call would receive the answer to the
+		// first.
 		CompletableFuture<HttpAnswer> first = send("/1", Duration.ofMillis(100));
 		Socket connection = this.accepted.take();
 		assertThat(failure(first).mayHaveArrived()).isTrue();
--- a/runtime/src/test/java/org/almondmount/http/impl/NettyHttpServerTests.java
+++ b/runtime/src/test/java/org/almondmount/http/impl/NettyHttpServerTests.java
@@ -58,8 +58,8 @@
 		}
 	}
 
-	// A process that restarts takes a while until its server is made. A caller that
-	// connects and sends its call meanwhile is answered, not turned away.
+	// Guards against refused connections while a process restarts: a caller that connects
+	// and sends its call before the server is created has to be answered.
 	@Test
 	void aCallerThatConnectsBeforeTheServerStartsIsAnswered() throws Exception {
 		ServerSocketChannel early = NettyHttpServer.openListeningSocket(new InetSocketAddress("127.0.0.1", 0));
@@ -97,8 +97,9 @@
 
 	@Test
 	void aRefusalByExpectationDoesNotOvertakeAnEarlierAnswer() throws IOException {
-		// Two calls are pipelined; the second announces a body that is too large and asks
-		// first. Refused at once, its 413 would pass for the answer to the first call.
+		// Two calls are pipelined. The second has a body that is too large and expects
+		// 100 Continue. If it were refused at once, its 413 would be mistaken for the
+		// answer to the first call.
 		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "GET /one HTTP/1.1\r\nhost: a\r\n\r\n"
@@ -152,8 +153,8 @@
 
 	@Test
 	void aCallerThatDoesNotReadItsAnswerIsDisconnected() throws IOException {
-		// The caller sends a call and reads nothing. Its answer is larger than what the
-		// network keeps, so it would hold memory here for as long as the caller likes.
+		// The caller sends a call and does not read. The answer is larger than the socket
+		// buffers, so without a timeout it would occupy server memory indefinitely.
 		start((exchange) -> exchange.answer(new HttpAnswer(200, Map.of(), new byte[64 << 20])));
 		try (Socket caller = connect()) {
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
@@ -201,9 +202,9 @@
 
 	@Test
 	void aDrainAnswersReceivedCallsAndThenCloses() throws Exception {
-		// A caller's call is being worked on when the drain begins. It gets its whole
-		// answer with `connection: close`; only then is the drain over, and nothing had
-		// to be cut.
+		// A call is being processed when the drain starts. It has to receive its complete
+		// answer with `connection: close`. Only then may the drain complete, without
+		// closing a connection at the deadline.
 		start(this.exchanges::add);
 		try (Socket caller = connect()) {
 			send(caller, "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
@@ -219,8 +220,8 @@
 
 	@Test
 	void aDrainStillAcceptsCallsDuringItsLinger() throws Exception {
-		// The caller's call was on its way when the drain began: it arrives on a
-		// kept-open connection, is answered, and is told that the connection ends.
+		// A call is in transit when the drain starts. It arrives on an open connection
+		// and has to be answered with `connection: close`.
 		start((exchange) -> exchange.answer(text("ok")));
 		try (Socket caller = connect()) {
 			Awaitility.await().until(() -> this.server.connectionCount() == 1);
