--- a/runtime/src/main/java/org/almondmount/http/impl/BoundedAggregator.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/BoundedAggregator.java
@@ -76,7 +76,7 @@
 		private static final long serialVersionUID = 1L;
 
 		MissingLengthException() {
-			super("the answer tells no length, so a cut could not be noticed");
+			super("the answer has no length, so a truncation could not be detected");
 		}
 
 	}
--- a/runtime/src/main/java/org/almondmount/http/impl/ClientConnection.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ClientConnection.java
@@ -46,7 +46,7 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext ctx) {
-		failCurrent("the connection was closed before the whole answer");
+		failCurrent("the connection was closed before the answer was complete");
 	}
 
 	@Override
@@ -73,7 +73,7 @@
 			return;
 		}
 		if (response.decoderResult().isFailure()) {
-			failCurrent("the answer is no HTTP/1.1: " + response.decoderResult().cause().getMessage());
+			failCurrent("the answer is not valid HTTP/1.1: " + response.decoderResult().cause().getMessage());
 			ctx.close();
 			return;
 		}
--- a/runtime/src/main/java/org/almondmount/http/impl/ConnectionPool.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/ConnectionPool.java
@@ -71,7 +71,7 @@
 			}
 		});
 		if (this.waitingCalls.size() >= MAX_WAITING_CALLS) {
-			call.fail("too many calls wait for a connection; slow down");
+			call.fail("too many calls are waiting for a connection; reduce the call rate");
 			return;
 		}
 		this.waitingCalls.add(call);
@@ -97,7 +97,7 @@
 	}
 
 	private void onTimeout(ClientCall call) {
-		call.fail("no whole answer in time");
+		call.fail("no complete answer within the timeout");
 		call.abandon();
 	}
 
@@ -190,7 +190,7 @@
 		removeCompletedCalls();
 		ClientCall call = this.waitingCalls.poll();
 		if (call != null) {
-			call.fail("no connection: " + cause.getMessage());
+			call.fail("connection failed: " + cause.getMessage());
 		}
 		dispatch();
 	}
--- a/runtime/src/main/java/org/almondmount/http/impl/NettyHttpClient.java
+++ b/runtime/src/main/java/org/almondmount/http/impl/NettyHttpClient.java
@@ -67,8 +67,8 @@
 			request = toNettyRequest(hostAndPort, call);
 		}
 		catch (IllegalArgumentException ex) {
-			answer
-				.completeExceptionally(new HttpFailure(hostAndPort, "the call is no HTTP: " + ex.getMessage(), false));
+			answer.completeExceptionally(
+					new HttpFailure(hostAndPort, "the call is not valid HTTP: " + ex.getMessage(), false));
 			return answer;
 		}
 		ClientCall pending = new ClientCall(hostAndPort, request, answer);
