--- a/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/GangRunner.java
@@ -454,7 +454,7 @@
 		if (succeeded) {
 			this.workerHealth.recordSuccess(gang);
 			this.runTimeEstimator.recordRunTime(job.spec, job.ranMillis);
-			this.registry.finish(job, JobOutcome.SUCCEEDED, "all members completed");
+			this.registry.finish(job, JobOutcome.SUCCEEDED, "all members ran to their end");
 			return;
 		}
 		job.hasCheckpoint |= suspended;
--- a/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
+++ b/core/src/main/java/org/almondmount/jobs/impl/PlanPreview.java
@@ -78,7 +78,7 @@
 		}
 		List<String> remarks = new ArrayList<>();
 		remarks.add("All " + countGuaranteedGangs(planned) + " guaranteed gangs of " + planned.customers().size()
-				+ " customers can be placed at the same time.");
+				+ " customers can be laid out at the same time.");
 		if (isNonRepeatableWorkRunning()) {
 			remarks.add("Non-repeatable work keeps running where it is; a new reservation on its workers is ready"
 					+ " when it has ended.");
@@ -131,9 +131,9 @@
 			withoutCheckpoints += gang.job.spec.savesCheckpoints() ? 0 : 1;
 		}
 		List<String> remarks = new ArrayList<>();
-		remarks.add("No work is started in zone " + id + " once the change is confirmed.");
-		remarks
-			.add(moves.size() + " jobs checkpoint and fit elsewhere now, " + stops.size() + " have to stop and wait.");
+		remarks.add("Nothing starts in zone " + id + " from the moment it is confirmed.");
+		remarks.add(moves.size() + " jobs checkpoint and find room elsewhere now, " + stops.size()
+				+ " have to stop and wait.");
 		if (withoutCheckpoints > 0) {
 			remarks.add(withoutCheckpoints
 					+ " jobs can't checkpoint: they may keep running until the zone's grace period is over.");
